--- a/bench/faultsoak/mutations.py
+++ b/bench/faultsoak/mutations.py
@@ -170,7 +170,7 @@
     Mutation(
         name="the age of a word on keys not checked",
         module="knowledge/authority.py",
-        before="self.bound is None or self.find_age() < self.bound - MARGIN",
+        before="self.bound is None or self.compute_age() < self.bound - DRIFT_MARGIN",
         after="True",
         action=Action.PAUSE,
         every=9.0,
@@ -186,8 +186,8 @@
     ),
     Mutation(
         name="ends of endpoints that daemons do not tell each other",
-        module="knowledge/ends.py",
-        before="        if self._poison.register.note_told(facts) "
+        module="knowledge/poison_exchange.py",
+        before="        if self._poison.register.record_reported(facts) "
         "and self._leaders.leads:\n",
         after="        if False:\n",
         action=Action.POISON,
--- a/src/kestreltally/entry/affinity.py
+++ b/src/kestreltally/entry/affinity.py
@@ -28,7 +28,7 @@
             known += part.tokens
         return known / max(1, request.head.prompt_tokens)
 
-    def note(self, request: ClientRequest, key: WeightsKey, at: EndpointId) -> None:
+    def record(self, request: ClientRequest, key: WeightsKey, at: EndpointId) -> None:
         """Remember where a request's prompt is read."""
         if request.head.prompt_tokens < AFFINITY_TOKENS:
             return
--- a/src/kestreltally/entry/choice.py
+++ b/src/kestreltally/entry/choice.py
@@ -20,12 +20,12 @@
 class Option:
     """An endpoint that could take a request.
 
-    ``under_way`` counts the requests of all daemons there; ``first`` is the predicted
+    ``in_flight`` counts the requests of all daemons there; ``first`` is the predicted
     time to the first event, by what is to be read before it.
     """
 
     endpoint: Endpoint
-    under_way: int
+    in_flight: int
     far: bool
     reading: Reading
     first: Seconds
@@ -49,8 +49,8 @@
 def weigh_option(option: Option) -> Seconds:
     """Return what a request at an endpoint costs, as time to its first event."""
     slots = max(1, option.endpoint.slots)
-    cost = option.first + BATCH_TIME * option.under_way / slots
-    if option.under_way >= slots:
+    cost = option.first + BATCH_TIME * option.in_flight / slots
+    if option.in_flight >= slots:
         cost += QUEUE_TIME
     if option.far:
         cost += FAR_TIME
--- a/src/kestreltally/entry/delivery.py
+++ b/src/kestreltally/entry/delivery.py
@@ -42,10 +42,10 @@
         self._health = health
         self._budget = budget
 
-    def note_failure(self, endpoint: Endpoint, fault: str) -> None:
+    def record_failure(self, endpoint: Endpoint, fault: str) -> None:
         """Count a failure of an endpoint, and tell where it is left out for it."""
         now = asyncio.get_running_loop().time()
-        if self._health.note_failure(endpoint.id, now):
+        if self._health.record_failure(endpoint.id, now):
             log_decision(
                 LOG, Decision.ENDPOINT_LEFT_OUT, endpoint=endpoint.id, fault=fault
             )
@@ -71,7 +71,7 @@
             body = await answer.read_whole(WHOLE_LIMIT)
         except AnswerTorn as error:
             progress.note_broken()
-            self.note_failure(endpoint, str(error))
+            self.record_failure(endpoint, str(error))
             raise MoveOn("the answer was torn", may_have_run=True) from error
         if body is None:
             return await self._hand_on_long(client, progress, endpoint, answer)
@@ -115,7 +115,7 @@
                 await response.write(await answer.read_some())
         except AnswerTorn as error:
             progress.note_broken()
-            self.note_failure(endpoint, str(error))
+            self.record_failure(endpoint, str(error))
             raise StreamBroken(str(error)) from error
         _note_whole(progress, answer)
         self._health.note_success(endpoint.id)
@@ -135,14 +135,16 @@
             while not answer.body.at_eof():
                 async with asyncio.timeout(find_patience(request, progress)):
                     content = await answer.read_some()
-                self._health.note_heard(endpoint.id, asyncio.get_running_loop().time())
+                self._health.record_received(
+                    endpoint.id, asyncio.get_running_loop().time()
+                )
                 await self._write_events(client, progress, answer, content)
             if events.has_rest:
                 raise AnswerTorn("ended within an event")
         except (AnswerTorn, EventTooLong, TimeoutError) as error:
             if isinstance(error, AnswerTorn):
                 progress.note_broken()
-            self.note_failure(endpoint, repr(error))
+            self.record_failure(endpoint, repr(error))
             raise MoveOn("the stream broke off", may_have_run=True) from error
         progress.note_ended()
         self._health.note_success(endpoint.id)
--- a/src/kestreltally/entry/demand.py
+++ b/src/kestreltally/entry/demand.py
@@ -73,7 +73,7 @@
         del self.uses[(endpoint, key)]
         return True
 
-    def note_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
+    def record_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
         """Note that an engine refused a request for want of its weights."""
         self._refused.add((endpoint, key))
 
--- a/src/kestreltally/entry/finder.py
+++ b/src/kestreltally/entry/finder.py
@@ -10,8 +10,8 @@
 from kestreltally.entry.affinity import Affinity
 from kestreltally.entry.choice import ENDPOINT_CHOOSERS, Option
 from kestreltally.entry.demand import DemandCounter, Waiter
-from kestreltally.entry.fullness import EMPTY
 from kestreltally.entry.health import HealthTable
+from kestreltally.entry.occupancy import EMPTY
 from kestreltally.entry.progress import (
     RETRY_SOON,
     UNAVAILABLE,
@@ -39,7 +39,7 @@
 LOOK_EVERY: Final[Seconds] = 0.2
 # What is told, at the most, as the time to come back; and what a load is taken to last
 # where no leader is heard.
-RETRY_MOST: Final[Seconds] = 2.0
+MAX_RETRY_DELAY: Final[Seconds] = 2.0
 # Who is sent back until a rest ends comes within this part of it after its end, so that
 # not all come in one moment.
 RETURN_SPREAD: Final = 0.25
@@ -56,7 +56,7 @@
 
     ``others`` tells what other daemons have under way, by endpoint;
     ``load_wait`` is the leader's word on how long a load takes from now, none without a
-    leader; ``hurry`` has the leader told of new demand at once.
+    leader; ``expedite`` has the leader told of new demand at once.
     """
 
     def __init__(self, data_centre: str, fleet: Fleet, health: HealthTable) -> None:
@@ -67,10 +67,10 @@
         self.demand = DemandCounter()
         self.waiters = Waiters()
         self.affinity = Affinity()
-        self.paces = PaceTable()
+        self.prefill_times = PaceTable()
         self.others = EMPTY
         self.load_wait: Seconds | None = None
-        self.hurry: Callable[[], None] = lambda: None
+        self.expedite: Callable[[], None] = lambda: None
 
     async def find(self, request: ClientRequest, progress: Progress) -> Option:
         """Return the endpoint to ask, once one can serve; raises ``Refused``."""
@@ -125,7 +125,7 @@
         waiter = self._make_waiter(request)
         self.demand.begin_wait(request.service_name, key, waiter)
         if not progress.waited:
-            self.hurry()
+            self.expedite()
         try:
             await self._wait_for_turn(request, key, LOOK_EVERY)
         finally:
@@ -162,7 +162,7 @@
 
     def _make_waiter(self, request: ClientRequest) -> Waiter:
         """Return what its leader is to know of a request that waits."""
-        reading = self.paces.predict_alone(request.head.prompt_tokens)
+        reading = self.prefill_times.predict_alone(request.head.prompt_tokens)
         return Waiter(
             timely_until=request.arrived + request.route.objective - reading,
             prompt_tokens=request.head.prompt_tokens,
@@ -178,16 +178,16 @@
         """Raise ``Refused`` unless the weights are predicted to come in time."""
         if progress.runs:
             raise give_up(progress)
-        wait = self.load_wait if self.load_wait is not None else RETRY_MOST
+        wait = self.load_wait if self.load_wait is not None else MAX_RETRY_DELAY
         rest = self._fleet.find_rest(request.service_name, key, now)
         coming = self._fleet.is_coming(request.service_name, key, now)
         ready = now + (0.0 if coming else min(wait, rest or wait))
         if ready > self._find_latest(request, new=not progress.waited and not coming):
             self.demand.note_missed(request.service_name, key)
-            self.hurry()
+            self.expedite()
             if rest is not None and rest < wait:
                 raise refuse_for_rest(rest)
-            after = min(RETRY_MOST, max(RETRY_SOON, wait))
+            after = min(MAX_RETRY_DELAY, max(RETRY_SOON, wait))
             raise Refused(UNAVAILABLE, f"{key} is not loaded", after)
 
     def _find_latest(self, request: ClientRequest, *, new: bool) -> Seconds:
@@ -197,7 +197,7 @@
         late; one that has waited is served late rather than sent back, while its client
         is still there.
         """
-        reading = self.paces.predict_alone(request.head.prompt_tokens)
+        reading = self.prefill_times.predict_alone(request.head.prompt_tokens)
         lost = request.first_by - reading
         if not new:
             return lost
@@ -216,7 +216,7 @@
         options = [self._make_option(request, each, now) for each in sound]
         chosen = self._choose(options)
         progress.trail.append(
-            f"{chosen.endpoint.id} of {len(found)}, {chosen.under_way} under way"
+            f"{chosen.endpoint.id} of {len(found)}, {chosen.in_flight} under way"
             + (", far" if chosen.far else "")
             + f", {chosen.first:.3f} s"
         )
@@ -227,7 +227,7 @@
     ) -> Option:
         key = request.head.weights
         known = self.affinity.known_part(request, key, endpoint.id) if key else 0.0
-        under_way, unread = self._health.measure_one(endpoint.id, now)
+        in_flight, unread = self._health.measure_one(endpoint.id, now)
         reading = Reading(
             own=int(request.head.prompt_tokens * (1.0 - min(1.0, known))),
             ahead=unread + self.others.unread.get(endpoint.id, 0),
@@ -235,8 +235,8 @@
         )
         return Option(
             endpoint=endpoint,
-            under_way=under_way + self.others.under_way.get(endpoint.id, 0),
+            in_flight=in_flight + self.others.in_flight.get(endpoint.id, 0),
             far=endpoint.data_centre != self._data_centre,
             reading=reading,
-            first=self.paces.predict(endpoint.id, reading),
+            first=self.prefill_times.predict(endpoint.id, reading),
         )
--- a/src/kestreltally/entry/health.py
+++ b/src/kestreltally/entry/health.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from kestreltally.entry.fullness import Fullness
+from kestreltally.entry.occupancy import Fullness
 from kestreltally.entry.outcomes import OutcomeCounter
 from kestreltally.fleet.model import Endpoint, EndpointId, Seconds
 
@@ -116,7 +116,7 @@
             latest = health.answered.get(awaited.priority, 0)
             health.answered[awaited.priority] = max(latest, token)
 
-    def note_heard(self, endpoint: EndpointId, now: Seconds) -> None:
+    def record_received(self, endpoint: EndpointId, now: Seconds) -> None:
         """Note that some bytes came from an endpoint."""
         self.row(endpoint).heard_at = now
 
@@ -145,7 +145,7 @@
         health.failed_at.clear()
         health.ejections = 0
 
-    def note_failure(self, endpoint: EndpointId, now: Seconds) -> bool:
+    def record_failure(self, endpoint: EndpointId, now: Seconds) -> bool:
         """Count a failure; tell whether the endpoint is ejected by it."""
         self.outcomes.note_failed(endpoint)
         health = self.row(endpoint)
@@ -200,7 +200,7 @@
             endpoint: _count_left(health, now) for endpoint, health in busy.items()
         }
         return Fullness(
-            under_way={endpoint: health.in_flight for endpoint, health in busy.items()},
+            in_flight={endpoint: health.in_flight for endpoint, health in busy.items()},
             unread={endpoint: tokens for endpoint, tokens in unread.items() if tokens},
         )
 
--- a/src/kestreltally/entry/identity.py
+++ b/src/kestreltally/entry/identity.py
@@ -73,4 +73,4 @@
     def is_alone(self) -> bool:
         """Tell whether keys cannot be checked here while others may do so."""
         needed = self._fleet.keys is not None
-        return needed and not self._authority.holds and not self.hears_leader
+        return needed and not self._authority.is_valid and not self.hears_leader
--- a/src/kestreltally/entry/fullness.py
+++ b/src/kestreltally/entry/occupancy.py
@@ -11,27 +11,27 @@
 class Fullness:
     """Counts by endpoint of some daemons' requests.
 
-    ``under_way`` counts requests; ``unread`` the prompt tokens of those that have not
+    ``in_flight`` counts requests; ``unread`` the prompt tokens of those that have not
     begun to answer, which an engine reads before it begins with what comes later.
     """
 
-    under_way: Mapping[EndpointId, int]
+    in_flight: Mapping[EndpointId, int]
     unread: Mapping[EndpointId, int]
 
     @classmethod
     def total(cls, parts: "Iterable[Fullness]") -> "Fullness":
         """Return the counts of all parts together."""
-        under_way: dict[EndpointId, int] = {}
+        in_flight: dict[EndpointId, int] = {}
         unread: dict[EndpointId, int] = {}
         for part in parts:
-            _add(under_way, part.under_way)
+            _add(in_flight, part.in_flight)
             _add(unread, part.unread)
-        return cls(under_way, unread)
+        return cls(in_flight, unread)
 
     def minus(self, other: "Fullness") -> "Fullness":
         """Return these counts without others, which may be of another moment."""
         return Fullness(
-            under_way=_subtract(self.under_way, other.under_way),
+            in_flight=_subtract(self.in_flight, other.in_flight),
             unread=_subtract(self.unread, other.unread),
         )
 
--- a/src/kestreltally/entry/relay.py
+++ b/src/kestreltally/entry/relay.py
@@ -111,7 +111,7 @@
         self.poison = PoisonGuard(lambda endpoint: health.row(endpoint).heard_at)
         self.poison.ends.find_staying = self._find_staying
         # Called with the tokens of a prompt that an endpoint begins or ends to read.
-        self.note_reading: Callable[[int], None] = lambda _: None
+        self.record_reading: Callable[[int], None] = lambda _: None
         # Called when an adapter on an engine begins or ends to be used from here.
         self.note_turn: Callable[[], None] = lambda: None
         # Raises ``Refused`` when a key has been taken away since its request was read.
@@ -217,12 +217,12 @@
         endpoint, predicted = option.endpoint, option.first
         progress.tried.add(endpoint.id)
         began = loop.time()
-        paces = self.finder.paces
+        prefill_times = self.finder.prefill_times
         urgency = find_urgency(
             request, began + predicted, resumes=progress.response is not None
         )
         reading = replace(option.reading, priority=urgency)
-        reads_for = paces.find_pace(endpoint.id) * reading.own
+        reads_for = prefill_times.find_pace(endpoint.id) * reading.own
         token = self.health.begin(
             endpoint.id,
             began,
@@ -232,7 +232,7 @@
             reads_for=reads_for,
         )
         self._note_use(request, endpoint, 1)
-        self.note_reading(reading.own)
+        self.record_reading(reading.own)
         keep = False
         channel: Channel | None = None
         try:
@@ -243,11 +243,11 @@
                 request, progress, endpoint, channel, token, urgency
             )
             self.health.note_head(endpoint.id, token, loop.time())
-            self.note_reading(reading.own)
+            self.record_reading(reading.own)
             progress.first_byte_at = progress.first_byte_at or loop.time()
             if request.service.engine is not None and answer.status < ERRORS_FROM:
                 took = loop.time() - began
-                paces.learn(endpoint.id, reading, took)
+                prefill_times.learn(endpoint.id, reading, took)
                 progress.predictions.append(Prediction(predicted, took))
             channel.note_keep_alive(answer, loop.time())
             response = await self._hand_on(request, client, progress, endpoint, answer)
@@ -282,8 +282,8 @@
             return await self._pool.acquire(endpoint)
         except NotConnected as error:
             if error.refused:
-                self.poison.ends.note_refused(endpoint)
-            self._delivery.note_failure(endpoint, str(error))
+                self.poison.ends.record_refused(endpoint)
+            self._delivery.record_failure(endpoint, str(error))
             self._note_unreachable(request, endpoint)
             raise MoveOn("no connection", may_have_run=False) from error
 
@@ -294,8 +294,8 @@
             return
         now = asyncio.get_running_loop().time()
         self._fleet.note_absent(endpoint.id, key, now)
-        self.finder.demand.note_refused(endpoint.id, key)
-        self.finder.hurry()
+        self.finder.demand.record_refused(endpoint.id, key)
+        self.finder.expedite()
 
     async def _ask(
         self,
@@ -324,13 +324,13 @@
             raise MoveOn("it wants nothing now", may_have_run=False) from error
         except AnswerLost as error:
             progress.note_broken()
-            self._delivery.note_failure(endpoint, str(error))
+            self._delivery.record_failure(endpoint, str(error))
             raise MoveOn("the answer was lost", may_have_run=True) from error
         if says_not_run(answer.status, answer.headers):
             progress.runs -= 1
             await self._note_not_run(request, endpoint, answer)
         if not is_genuine(answer.status, answer.headers):
-            self._delivery.note_failure(endpoint, "not an answer of an endpoint")
+            self._delivery.record_failure(endpoint, "not an answer of an endpoint")
             raise MoveOn("the answer was spoiled", may_have_run=True)
         return answer
 
@@ -349,7 +349,7 @@
             while not (await asyncio.wait({answering}, timeout=patience))[0]:
                 verdict = self._judge_silence(request, progress, endpoint, token)
                 if verdict is not Verdict.WAIT:
-                    self._delivery.note_failure(endpoint, "silent")
+                    self._delivery.record_failure(endpoint, "silent")
                     raise MoveOn(verdict.value, may_have_run=True)
                 patience = LOOK_EVERY
             return await answering
@@ -391,8 +391,8 @@
                 self._fleet.drop_endpoint(endpoint.id)
             elif key is not None:
                 self._fleet.note_absent(endpoint.id, key, now)
-                self.finder.demand.note_refused(endpoint.id, key)
-                self.finder.hurry()
+                self.finder.demand.record_refused(endpoint.id, key)
+                self.finder.expedite()
         try:
             await answer.read_whole(WHOLE_LIMIT)
         except AnswerTorn as error:
@@ -443,5 +443,5 @@
         answer: Answer,
     ) -> web.StreamResponse:
         if request.head.weights is not None:
-            self.finder.affinity.note(request, request.head.weights, endpoint.id)
+            self.finder.affinity.record(request, request.head.weights, endpoint.id)
         return await self._delivery.hand_on(request, client, progress, endpoint, answer)
--- a/src/kestreltally/entry/upstream.py
+++ b/src/kestreltally/entry/upstream.py
@@ -201,9 +201,9 @@
             return
         if signed and not is_genuine(answer.status, answer.headers):
             return
-        self._notices.unread.note(list_unread(answer.status, answer.headers))
+        self._notices.unread.record(list_unread(answer.status, answer.headers))
         notice = read_notice(answer.status, answer.headers)
-        self._notices.note(
+        self._notices.record(
             self._endpoint, notice, self._loop.time(), sent_at, signed=signed
         )
 
--- a/src/kestreltally/fleet/copies.py
+++ b/src/kestreltally/fleet/copies.py
@@ -46,7 +46,7 @@
         while len(self._dropped_at) > ROWS_MOST:
             self._dropped_at.popitem(last=False)
 
-    def note_told(self, endpoint: EndpointId, key: WeightsKey) -> None:
+    def record_reported(self, endpoint: EndpointId, key: WeightsKey) -> None:
         """Take in that an engine itself says that it keeps a copy."""
         if self.measure_age(endpoint, key) is None:
             self.note_dropped(endpoint, key)
--- a/src/kestreltally/fleet/limits.py
+++ b/src/kestreltally/fleet/limits.py
@@ -169,7 +169,7 @@
             self.alone = Bucket(now, -random.random())
         return self.alone
 
-    def list_wanted(self, now: Seconds) -> dict[int, int]:
+    def list_requested(self, now: Seconds) -> dict[int, int]:
         """Return how many more turns are wanted, by urgency."""
         if self.limit is None:
             return {}
--- a/src/kestreltally/fleet/notices.py
+++ b/src/kestreltally/fleet/notices.py
@@ -44,7 +44,7 @@
 
 # An endpoint that leaves is gone within a minute as a rule; its notice is kept for that
 # long after the last word on it, for its entry may lapse and come back.
-KEPT_FOR: Final[Seconds] = 60.0
+RETENTION: Final[Seconds] = 60.0
 # After a rest one request goes alone, and with each answer one more may be under way
 # at once, until RISEN are: all at once would be turned away again.
 RISE_FIRST: Final = 1
@@ -133,13 +133,13 @@
         self._rows: dict[EndpointId, _Standing] = {}
         self.unread = UnreadWords()
         # Called with the endpoint of which something is new.
-        self.note_news: Callable[[EndpointId], None] = lambda _: None
+        self.notify_change: Callable[[EndpointId], None] = lambda _: None
         # Tells who lends turns at an endpoint that names a limit.
         self.find_lending: Callable[[Endpoint], Lending] = lambda _: NOBODY_LENDS
         # Called with an endpoint at which a turn is waited for.
-        self.note_wanted: Callable[[EndpointId], None] = lambda _: None
+        self.record_requested: Callable[[EndpointId], None] = lambda _: None
 
-    def note(
+    def record(
         self,
         endpoint: Endpoint,
         notice: Notice,
@@ -180,7 +180,7 @@
             return
         row.leaves = True
         log_decision(LOG, Decision.ENDPOINT_SAYS_LEAVING, endpoint=endpoint)
-        self.note_news(endpoint)
+        self.notify_change(endpoint)
 
     def _note_limit(
         self,
@@ -200,7 +200,7 @@
         )
         if limit is None:
             row.begin_rise(now)
-        self.note_news(endpoint)
+        self.notify_change(endpoint)
 
     def _begin_rest(
         self, endpoint: EndpointId, row: _Standing, rest: Seconds, now: Seconds
@@ -211,7 +211,7 @@
             log_decision(
                 LOG, Decision.ENDPOINT_WANTS_REST, endpoint=endpoint, rest=rest
             )
-            self.note_news(endpoint)
+            self.notify_change(endpoint)
 
     def _end_rest(self, endpoint: Endpoint, now: Seconds) -> None:
         """Let more requests go to an endpoint that answers after its rest."""
@@ -349,7 +349,7 @@
         limits = [(name, limit) for name, limit in found if limit is not None]
         for name, limit in limits:
             limit.waiting[urgency] += 1
-            self.note_wanted(name)
+            self.record_requested(name)
         try:
             yield
         finally:
@@ -418,11 +418,11 @@
             row.noted_at = now
             self._note_limit(told.endpoint, row, before, now)
 
-    def forget_old(self, listed: Container[EndpointId], now: Seconds) -> None:
+    def prune_old(self, listed: Container[EndpointId], now: Seconds) -> None:
         """Drop what is over, and what is known of endpoints that are gone."""
         for name, row in list(self._rows.items()):
             if name in listed and (row.leaves or row.limit.limit is not None):
                 row.noted_at = now
             rests = max(row.rests_until, row.rests_elsewhere_until)
-            if now > KEPT_FOR + max(row.noted_at, rests):
+            if now > RETENTION + max(row.noted_at, rests):
                 del self._rows[name]
--- a/src/kestreltally/fleet/tables.py
+++ b/src/kestreltally/fleet/tables.py
@@ -79,7 +79,7 @@
         self.copies = CopyTable()
         self.notices = NoticeTable()
 
-    def take_configuration(self, configuration: Configuration) -> bool:
+    def apply_configuration(self, configuration: Configuration) -> bool:
         """Put a configuration in force unless it is older; tell whether it was."""
         current = self.configuration
         if current is not None and configuration.version <= current.version:
@@ -247,7 +247,7 @@
         """Drop what was noted by ``note_absent`` and is over."""
         self._absent = {k: until for k, until in self._absent.items() if until > now}
 
-    def take_version(self, key: WeightsKey, number: int, now: Seconds) -> bool:
+    def apply_version(self, key: WeightsKey, number: int, now: Seconds) -> bool:
         """Note the newest version of some weights; tell whether it is news."""
         known = self.versions.get(key)
         if known is not None and known.number >= number:
--- a/src/kestreltally/fleet/unread.py
+++ b/src/kestreltally/fleet/unread.py
@@ -24,7 +24,7 @@
     def __init__(self) -> None:
         self._counts: Counter[str] = Counter()
 
-    def note(self, names: Iterable[str]) -> None:
+    def record(self, names: Iterable[str]) -> None:
         """Count the unread words of an answer."""
         for name in names:
             if name not in self._counts and len(self._counts) >= NAMES_MOST:
--- a/src/kestreltally/fleet_daemon.py
+++ b/src/kestreltally/fleet_daemon.py
@@ -33,12 +33,12 @@
 from kestreltally.fleet_metrics import FleetMetrics, GaugeValues
 from kestreltally.knowledge.authority import Authority, ConfigurationReader
 from kestreltally.knowledge.exchange import Exchange
-from kestreltally.knowledge.followers import (
-    ConfigurationFollower,
-    EndpointsFollower,
-    VersionsFollower,
+from kestreltally.knowledge.watch_handlers import (
+    ConfigurationHandler,
+    EndpointsHandler,
+    VersionsHandler,
 )
-from kestreltally.knowledge.watching import Follower, KindWatch
+from kestreltally.knowledge.watching import KindWatch, WatchHandler
 from kestreltally.logs import LineWriter, set_up_structured_logs
 from kestreltally.placing.leader import Leader
 from kestreltally.placing.lease import (
@@ -129,8 +129,8 @@
             self._metrics.note_end,
         )
         self._leases = self._make_leases()
-        self._configuration = ConfigurationFollower(
-            lambda configuration: self._exchange.take_configuration(configuration),
+        self._configuration = ConfigurationHandler(
+            lambda configuration: self._exchange.apply_configuration(configuration),
             lambda: lacks_writes(self._store.copied_at, self._clock()),
         )
         self._configuration_watch = self._make_watch(
@@ -142,7 +142,7 @@
             self._relay,
             self._leases,
             self._configuration,
-            lambda: self._endpoints_watch.find_age(),
+            lambda: self._endpoints_watch.compute_age(),
             lambda: self._endpoints_watch.answered_at,
             self._authority,
             self._limiter,
@@ -151,7 +151,7 @@
         self._reader = ConfigurationReader(
             self._store,
             self._authority,
-            self._configuration.take_read,
+            self._configuration.apply_read,
             self._needs_reading,
             self._count_watchers,
             self._clock,
@@ -159,24 +159,24 @@
         self._board = LeaseBoard(
             self._store,
             self._leases,
-            self._exchange.leaders.wants_look,
+            self._exchange.leaders.should_poll,
             self._count_daemons,
         )
         self._leader = self._make_leader()
         self._exchange.leader = self._leader
-        self._relay.finder.hurry = self._hurry
-        self._endpoints = EndpointsFollower(
+        self._relay.finder.expedite = self._expedite
+        self._endpoints = EndpointsHandler(
             self._exchange.rows.put_entry,
             self._exchange.rows.drop_entry,
             self._clock,
-            lambda: self._endpoints_watch.returned_at,
+            lambda: self._endpoints_watch.recovered_at,
         )
         self._endpoints_watch = self._make_watch(
             ENDPOINTS_KIND, self._endpoints, ENDPOINTS_GAP, ENDPOINTS_WAIT
         )
         self._versions_watch = self._make_watch(
             VERSIONS_KIND,
-            VersionsFollower(self._exchange.rows.take_version),
+            VersionsHandler(self._exchange.rows.apply_version),
             VERSIONS_GAP,
             OTHERS_WAIT,
         )
@@ -214,13 +214,13 @@
         caller = EngineCaller(
             self._control_pool,
             self._deployment.vm,
-            self._exchange.find_lease,
+            self._exchange.get_lease,
             self._clock,
         )
         leader = Leader(
             self._fleet,
             self._leases,
-            self._exchange.find_lease,
+            self._exchange.get_lease,
             caller,
             self._deployment.bounds,
             self._clock,
@@ -228,16 +228,16 @@
         )
         for lease in self._leases.values():
             lease.note_begin = self._begin_leading
-        leader.paces = self._relay.finder.paces
+        leader.prefill_times = self._relay.finder.prefill_times
         leader.list_uses = self._exchange.list_uses
-        leader.other_wait = self._exchange.find_other_wait
-        leader.handover.can_hand = self._exchange.can_hand
-        leader.handover.find_rooms = self._exchange.find_rooms
-        leader.handover.hurry = self._exchange.hurry
+        leader.other_wait = self._exchange.get_min_load_wait
+        leader.handover.can_hand_over = self._exchange.can_hand_over
+        leader.handover.get_free_capacity = self._exchange.get_free_capacity
+        leader.handover.expedite = self._exchange.expedite
         return leader
 
     def _make_watch(
-        self, kind: str, follower: Follower, gap: Seconds, wait: Seconds
+        self, kind: str, follower: WatchHandler, gap: Seconds, wait: Seconds
     ) -> KindWatch:
         return KindWatch(
             self._store, kind, follower, gap, wait, self._count_watchers, self._clock
@@ -256,18 +256,18 @@
             "requests_live": {"entry": self._surface.live},
             "requests_in_flight": {
                 str(name): float(count)
-                for name, count in self._relay.health.measure(now).under_way.items()
+                for name, count in self._relay.health.measure(now).in_flight.items()
             },
             "retries_left": {name: budget.left(name, now) for name in services},
             "leases_held": {
                 name: float(lease.leads) for name, lease in self._leases.items()
             },
             "watch_age_seconds": {
-                "configuration": self._configuration_watch.find_age(),
-                "endpoints": self._endpoints_watch.find_age(),
-                "versions": self._versions_watch.find_age(),
+                "configuration": self._configuration_watch.compute_age(),
+                "endpoints": self._endpoints_watch.compute_age(),
+                "versions": self._versions_watch.compute_age(),
             },
-            "configuration_age_seconds": {"authority": self._authority.find_age()},
+            "configuration_age_seconds": {"authority": self._authority.compute_age()},
             "quota_used": self._exchange.ledger.measure(now),
             "adapters_missing": {"leader": self._leader.missing},
             "loads_ended": self._leader.count_loads(),
@@ -287,13 +287,13 @@
     def _begin_leading(self) -> None:
         """Wake what has nothing to do without a lease."""
         self._leader.wake()
-        self._exchange.feed.hurry()
+        self._exchange.feed.expedite()
 
-    def _hurry(self) -> None:
+    def _expedite(self) -> None:
         """Have the leader told of new demand at once."""
         primary = self._exchange.leaders.find_primary()
         if primary is not None:
-            self._exchange.hurry(primary)
+            self._exchange.expedite(primary)
 
     async def _keep_house(self) -> None:
         tidied_at = self._clock()
@@ -303,21 +303,21 @@
             self._exchange.resign_if_cut_off()
             self._follow_store()
             self._exchange.leaders.follow()
-            self._reader.look()
-            self._exchange.lead_own()
-            self._exchange.forget_leader()
-            self._exchange.rows.forget_word()
+            self._reader.wake_if_needed()
+            self._exchange.apply_local_report()
+            self._exchange.expire_leader_state()
+            self._exchange.rows.expire_leader_state()
             self._identity.hears_leader = (
                 self._exchange.leaders.find_primary() is not None
             )
-            self._endpoints.drop_lapsed()
-            self._configuration.take_held()
+            self._endpoints.drop_expired()
+            self._configuration.apply_pending()
             self._fleet.forget_absences(now)
             if now >= tidied_at + TIDY_EVERY:
                 tidied_at = now
                 self._relay.poison.keep_house()
-                self._fleet.notices.forget_old(self._fleet.endpoints, now)
-                self._exchange.rows.departures.forget_old(now)
+                self._fleet.notices.prune_old(self._fleet.endpoints, now)
+                self._exchange.rows.tombstones.prune_old(now)
                 self._pool.close_expired(now)
                 self._control_pool.close_expired(now)
                 log_left_out(LOG, self._lines.take_dropped())
@@ -328,14 +328,14 @@
         A daemon that leads nobody tries one kind only while the store does not answer.
         """
         leads = self._exchange.leaders.leads
-        fed = self._exchange.leaders.is_fed() or self._awaits_first_leader()
+        fed = self._exchange.leaders.has_fresh_feed() or self._awaits_first_leader()
         needed = leads or not fed
-        if needed and not self._endpoints_watch.on:
-            self._endpoints.adopt(self._fleet.endpoints.values())
-        self._endpoints_watch.switch(needed)
+        if needed and not self._endpoints_watch.enabled:
+            self._endpoints.seed(self._fleet.endpoints.values())
+        self._endpoints_watch.set_enabled(needed)
         others = needed and (leads or not self._endpoints_watch.failing)
-        self._configuration_watch.switch(others)
-        self._versions_watch.switch(others)
+        self._configuration_watch.set_enabled(others)
+        self._versions_watch.set_enabled(others)
 
     def _needs_reading(self) -> bool:
         """Tell whether the configuration is to be read here to know its age.
@@ -351,8 +351,8 @@
         if self._endpoints_watch.failing:
             return False
         bound = self._authority.bound or OTHERS_WAIT
-        age = self._authority.find_age()
-        if not self._exchange.leaders.is_fed():
+        age = self._authority.compute_age()
+        if not self._exchange.leaders.has_fresh_feed():
             return age > READ_ALONE_PART * bound
         # A leader's word on it comes with the second update.
         return min(age, self._clock() - self._began) > READ_FED_PART * bound
--- a/src/kestreltally/knowledge/turns.py
+++ b/src/kestreltally/knowledge/credits.py
@@ -16,16 +16,16 @@
 from kestreltally.fleet.limits import AHEAD, Lending, LimitStanding
 from kestreltally.fleet.model import Endpoint, EndpointId, KnownNotice, Seconds
 from kestreltally.fleet.tables import Fleet
+from kestreltally.knowledge.daemon_count import DaemonCount
 from kestreltally.knowledge.feed import FeedServer
-from kestreltally.knowledge.headcount import Headcount
+from kestreltally.knowledge.feed_parts import FeedPart, ReceivedUpdate
 from kestreltally.knowledge.leaders import Leaders
-from kestreltally.knowledge.parts import FeedPart, Heard
 from kestreltally.knowledge.peer import Peer
 from kestreltally.knowledge.rows import (
     decode_notice,
+    encode_credits,
     encode_notice,
-    encode_turns,
-    encode_wanted,
+    encode_requested,
 )
 from kestreltally.placing.lease import Lease
 from kestreltally.placing.turns import (
@@ -38,10 +38,10 @@
 )
 
 
-class TurnExchange(FeedPart):
+class CreditExchange(FeedPart):
     """Puts wants and turns into reports and updates, and takes them in.
 
-    ``note_turn`` is called with an endpoint at which a turn of this daemon's has come.
+    ``record_credit`` is called with an endpoint at which a turn of this daemon's has come.
     """
 
     def __init__(
@@ -49,29 +49,29 @@
         fleet: Fleet,
         leases: Mapping[str, Lease],
         leaders: Leaders,
-        find_lease: Callable[[Endpoint], Lease],
+        get_lease: Callable[[Endpoint], Lease],
         feed: FeedServer,
         clock: Callable[[], Seconds],
     ) -> None:
         self._fleet = fleet
         self._notices = fleet.notices
         self._leaders = leaders
-        self._find_lease = find_lease
+        self._get_lease = get_lease
         self._feed = feed
         self._clock = clock
-        self._own = Borrower()
-        self._lender = TurnLender(
-            self._own, self._list_borrowers, self._take_own, clock
+        self._local_holder = Borrower()
+        self._issuer = TurnLender(
+            self._local_holder, self._list_credit_holders, self._acquire_local, clock
         )
         # Turns got from each leader since this daemon last connected to it.
         self._received: dict[str, Counter[EndpointId]] = {
             name: Counter() for name in leases
         }
-        self._look: asyncio.TimerHandle | None = None
-        self._headcount = Headcount()
-        self.note_turn: Callable[[Endpoint], None] = lambda _: None
+        self._issue_timer: asyncio.TimerHandle | None = None
+        self._daemon_count = DaemonCount()
+        self.record_credit: Callable[[Endpoint], None] = lambda _: None
         self._notices.find_lending = self.find_lending
-        self._notices.note_wanted = self._note_wanted
+        self._notices.record_requested = self._record_requested
 
     # Who lends.
 
@@ -81,111 +81,113 @@
         Any leader does, in its own right or another's.
         """
         heard = self._leaders.leads or self._leaders.find_primary() is not None
-        return Lending(heard=heard, daemons=self._headcount.most)
+        return Lending(heard=heard, daemons=self._daemon_count.maximum)
 
-    def note_daemons(self, count: int) -> None:
+    def record_daemon_count(self, count: int) -> None:
         """Take in how many daemons are heard by all leaders that are heard."""
-        self._headcount.note(count, self._clock())
+        self._daemon_count.record(count, self._clock())
 
-    def _lends(self, endpoint: Endpoint) -> bool:
+    def _issues(self, endpoint: Endpoint) -> bool:
         """Tell whether turns at an endpoint are lent here, not by another leader."""
-        heard = self._leaders.is_heard(self._find_lease(endpoint).data_centre)
-        return self._leads(endpoint) or (self._leaders.leads and not heard)
+        is_reachable = self._leaders.is_reachable(self._get_lease(endpoint).data_centre)
+        return self._leads(endpoint) or (self._leaders.leads and not is_reachable)
 
     def _leads(self, endpoint: Endpoint) -> bool:
         """Tell whether this daemon leads an endpoint, though its lease may be over."""
-        return self._find_lease(endpoint).leads
+        return self._get_lease(endpoint).leads
 
-    def _find_terms(self, endpoint: Endpoint, limit: LimitStanding) -> Terms:
+    def _choose_terms(self, endpoint: Endpoint, limit: LimitStanding) -> Terms:
         """Return how turns are lent here."""
-        if self._find_lease(endpoint).holds_alone():
+        if self._get_lease(endpoint).holds_alone():
             return find_leased_terms(limit.rate)
         leads = self._leads(endpoint)
-        heard = self._feed.count_daemons() if leads else self._feed.count_group()
-        return find_unleased_terms(limit.rate, heard, self._headcount.most or 0)
+        daemons = self._feed.count_daemons() if leads else self._feed.count_group()
+        return find_unleased_terms(limit.rate, daemons, self._daemon_count.maximum or 0)
 
-    def _list_borrowers(self, endpoint: EndpointId) -> Iterator[Borrower]:
-        yield self._own
+    def _list_credit_holders(self, endpoint: EndpointId) -> Iterator[Borrower]:
+        yield self._local_holder
         known = self._fleet.endpoints.get(endpoint)
         for peer in self._feed.list_followers():
-            yield peer.borrower
+            yield peer.credit_holder
         if known is not None and self._leads(known):
             for peer in self._feed.list_leaders():
-                yield peer.borrower
+                yield peer.credit_holder
 
-    def lend(self) -> None:
+    def issue(self) -> None:
         """Lend, as a leader, what may be lent now, and come back for the rest."""
-        if self._look is not None:
-            self._look.cancel()
-            self._look = None
+        if self._issue_timer is not None:
+            self._issue_timer.cancel()
+            self._issue_timer = None
         limits = self._notices.list_limits()
-        self._lender.forget(name for name, _, _ in limits)
+        self._issuer.forget(name for name, _, _ in limits)
         if not limits or not self._leaders.leads:
             return
         waits = []
         for name, born, limit in limits:
             known = self._fleet.endpoints.get(name)
-            if known is None or not self._lends(known):
+            if known is None or not self._issues(known):
                 continue
-            self._own.wanted[name] = limit.list_wanted(self._clock())
-            terms = self._find_terms(known, limit)
-            wait = self._lender.lend(name, born, limit, terms)
+            self._local_holder.wanted[name] = limit.list_requested(self._clock())
+            terms = self._choose_terms(known, limit)
+            wait = self._issuer.issue(name, born, limit, terms)
             if wait is not None:
                 waits.append(wait)
         if waits:
             loop = asyncio.get_running_loop()
-            self._look = loop.call_later(min(waits), self.lend)
-        self._tell_untold()
+            self._issue_timer = loop.call_later(min(waits), self.issue)
+        self._expedite_unreported()
 
-    def _tell_untold(self) -> None:
+    def _expedite_unreported(self) -> None:
         followers = self._feed.list_followers()
-        if any(p.borrower.untold for p in (*followers, *self._feed.list_leaders())):
-            self._feed.hurry()
+        if any(
+            p.credit_holder.untold for p in (*followers, *self._feed.list_leaders())
+        ):
+            self._feed.expedite()
 
-    def _take_own(self, endpoint: EndpointId, ends: Seconds) -> None:
+    def _acquire_local(self, endpoint: EndpointId, expires_at: Seconds) -> None:
         """Take a turn for this daemon's own calls."""
         known = self._fleet.endpoints.get(endpoint)
         if known is None:
             return
         limit = self._notices.find_limit(endpoint, known.born)
-        if limit is not None and ends > self._clock():
-            limit.turns.append(ends)
-            self._own.wanted[endpoint] = limit.list_wanted(self._clock())
-            self.note_turn(known)
+        if limit is not None and expires_at > self._clock():
+            limit.turns.append(expires_at)
+            self._local_holder.wanted[endpoint] = limit.list_requested(self._clock())
+            self.record_credit(known)
 
     # Asking.
 
-    def _note_wanted(self, endpoint: EndpointId) -> None:
+    def _record_requested(self, endpoint: EndpointId) -> None:
         """Ask at once for a turn that a request waits for."""
         known = self._fleet.endpoints.get(endpoint)
         if known is None:
             return
-        if self._lends(known):
-            self.lend()
+        if self._issues(known):
+            self.issue()
             return
-        self._hurry(known)
+        self._expedite(known)
 
-    def _hurry(self, endpoint: Endpoint) -> None:
+    def _expedite(self, endpoint: Endpoint) -> None:
         """Have the next report to who lends, or asks for it, sent at once."""
-        name: str | None = self._find_lease(endpoint).data_centre
+        name: str | None = self._get_lease(endpoint).data_centre
         if not self._leaders.leads:
             name = self._leaders.find_primary()
         if name is not None:
-            self._leaders.clients[name].hurry()
+            self._leaders.clients[name].expedite()
 
-    def note_connected(self, data_centre: str) -> None:
+    def record_connected(self, data_centre: str) -> None:
         """Begin anew with a leader: it has lent nothing over this connection."""
         self._received[data_centre].clear()
 
     def fill_report(self, report: Any, data_centre: str) -> None:
         """Put into a report which turns are wanted of a leader."""
         rows = []
-        for name, wanted in self._list_wanted(data_centre):
-            got = self._received[data_centre][name]
-            rows.append(encode_wanted(name, wanted, got))
+        for name, requested in self._list_requested(data_centre):
+            received_count = self._received[data_centre][name]
+            rows.append(encode_requested(name, requested, received_count))
         report.wanted = rows
 
-    def _list_wanted(self, data_centre: str) -> Iterable[tuple[EndpointId, Wanted]]:
+    def _list_requested(self, data_centre: str) -> Iterable[tuple[EndpointId, Wanted]]:
         leads = self._leaders.leads
         if not leads and self._leaders.find_primary() not in (data_centre, None):
             return
@@ -193,33 +195,33 @@
             known = self._fleet.endpoints.get(name)
             if known is None:
                 continue
-            wanted = limit.list_wanted(self._clock())
+            requested = limit.list_requested(self._clock())
             if leads:
-                if self._find_lease(known).data_centre != data_centre:
+                if self._get_lease(known).data_centre != data_centre:
                     continue
-                self._own.wanted[name] = wanted
-                wanted = self._lender.sum_open(name)
-            yield name, wanted
+                self._local_holder.wanted[name] = requested
+                requested = self._issuer.sum_open(name)
+            yield name, requested
 
-    def take_report(self, peer: Peer, report: Any) -> None:
+    def apply_report(self, peer: Peer, report: Any) -> None:
         """Take in which turns a daemon wants, and lend them or ask for them."""
-        borrower = peer.borrower
-        borrower.wanted = {}
+        credit_holder = peer.credit_holder
+        credit_holder.wanted = {}
         for row in report.wanted or ():
             name = EndpointId(row.endpoint)
-            borrower.wanted[name] = dict(row.counts or {})
-            borrower.received[name] = row.received
+            credit_holder.wanted[name] = dict(row.counts or {})
+            credit_holder.received[name] = row.received
         if not self._leaders.leads:
             return
-        for name, wanted in borrower.wanted.items():
+        for name, requested in credit_holder.wanted.items():
             known = self._fleet.endpoints.get(name)
             # What nobody waits for is lent with the leader's next rounds.
-            if known is None or all(urgency >= AHEAD for urgency in wanted):
+            if known is None or all(urgency >= AHEAD for urgency in requested):
                 continue
-            if self._lends(known):
-                self.lend()
+            if self._issues(known):
+                self.issue()
             else:
-                self._hurry(known)
+                self._expedite(known)
 
     # Telling.
 
@@ -231,51 +233,55 @@
         if peer.stamp is None:
             return
         update.echo = peer.stamp
-        update.echo_age = now - peer.stamped_at
+        update.echo_age = now - peer.stamp_received_at
         update.turns = [
-            encode_turns(name, [end - now for end in ends])
-            for name, ends in peer.borrower.take_untold().items()
+            encode_credits(name, [end - now for end in expiry_times])
+            for name, expiry_times in peer.credit_holder.take_untold().items()
         ]
 
-    def take_update(self, heard: Heard) -> None:
+    def apply_update(self, received: ReceivedUpdate) -> None:
         """Take in limits and turns that a leader tells."""
-        update = heard.update
-        relies = heard.followed and not self._leaders.leads
+        update = received.update
+        is_followed = received.followed and not self._leaders.leads
         for row in update.notices or ():
-            told = decode_notice(row)
-            self._notices.take_limit_told(told, self._clock())
-            self._take_wait(told, heard.led, relies=relies)
+            notice = decode_notice(row)
+            self._notices.take_limit_told(notice, self._clock())
+            self._apply_wait(notice, received.led_data_centres, is_followed=is_followed)
         if update.turns and update.echo is not None:
             # Counted from when this daemon reported: no word that comes late, for what
             # reason ever, lends more time than its sender gave.
             sent_at = update.echo + update.echo_age
-            self._take_turns(heard.data_centre, update, sent_at)
+            self._apply_credits(received.data_centre, update, sent_at)
 
-    def _take_wait(
-        self, told: KnownNotice, led: frozenset[str], *, relies: bool
+    def _apply_wait(
+        self,
+        notice: KnownNotice,
+        led_data_centres: frozenset[str],
+        *,
+        is_followed: bool,
     ) -> None:
         """Take in how long calls wait for turns, from who lends them or tells on."""
-        known = self._fleet.endpoints.get(told.endpoint)
-        limit = self._notices.find_limit(told.endpoint, told.born)
+        known = self._fleet.endpoints.get(notice.endpoint)
+        limit = self._notices.find_limit(notice.endpoint, notice.born)
         if known is None or limit is None:
             return
-        if relies or self._find_lease(known).data_centre in led:
-            limit.wait = told.turn_wait
+        if is_followed or self._get_lease(known).data_centre in led_data_centres:
+            limit.wait = notice.turn_wait
 
-    def _take_turns(self, data_centre: str, update: Any, sent_at: Seconds) -> None:
+    def _apply_credits(self, data_centre: str, update: Any, sent_at: Seconds) -> None:
         for row in update.turns:
             name = EndpointId(row.endpoint)
-            ends = [sent_at + lasts for lasts in row.lasts]
-            self._received[data_centre][name] += len(ends)
+            expiry_times = [sent_at + lasts for lasts in row.lasts]
+            self._received[data_centre][name] += len(expiry_times)
             known = self._fleet.endpoints.get(name)
             limit = self._notices.find_limit(name, known.born) if known else None
             if limit is None:
                 continue
             if self._leaders.leads:
-                self._own.wanted[name] = limit.list_wanted(self._clock())
-                self._lender.hand_on(name, ends)
+                self._local_holder.wanted[name] = limit.list_requested(self._clock())
+                self._issuer.hand_on(name, expiry_times)
             else:
-                for end in ends:
-                    self._take_own(name, end)
+                for end in expiry_times:
+                    self._acquire_local(name, end)
         if self._leaders.leads:
-            self._tell_untold()
+            self._expedite_unreported()
--- a/src/kestreltally/knowledge/headcount.py
+++ b/src/kestreltally/knowledge/daemon_count.py
@@ -10,27 +10,29 @@
 from kestreltally.fleet.model import Seconds
 
 # A VM that nobody has heard of for so long is taken for gone.
-REMEMBERED_FOR: Final[Seconds] = 60.0
+COUNT_WINDOW: Final[Seconds] = 60.0
 
 
-class Headcount:
+class DaemonCount:
     """The most daemons that were told in the last minute or two."""
 
     def __init__(self) -> None:
-        self._began: Seconds = float("-inf")
-        self._most: int | None = None
+        self._window_start: Seconds = float("-inf")
+        self._maximum: int | None = None
         # That of the time before.
-        self._most_before: int | None = None
+        self._previous_maximum: int | None = None
 
-    def note(self, count: int, now: Seconds) -> None:
+    def record(self, count: int, now: Seconds) -> None:
         """Take in how many daemons are heard now."""
-        if now - self._began >= REMEMBERED_FOR:
-            self._began = now
-            self._most_before, self._most = self._most, None
-        self._most = max(count, self._most or 0)
+        if now - self._window_start >= COUNT_WINDOW:
+            self._window_start = now
+            self._previous_maximum, self._maximum = self._maximum, None
+        self._maximum = max(count, self._maximum or 0)
 
     @property
-    def most(self) -> int | None:
+    def maximum(self) -> int | None:
         """Return how many there are, none where this was never told."""
-        known = [each for each in (self._most, self._most_before) if each is not None]
+        known = [
+            each for each in (self._maximum, self._previous_maximum) if each is not None
+        ]
         return max(known, default=None)
--- a/src/kestreltally/knowledge/exchange.py
+++ b/src/kestreltally/knowledge/exchange.py
@@ -13,7 +13,7 @@
 
 from kestreltally.deployment import Deployment
 from kestreltally.entry.demand import WeightsDemand
-from kestreltally.entry.fullness import EMPTY
+from kestreltally.entry.occupancy import EMPTY
 from kestreltally.entry.relay import Relay
 from kestreltally.entry.waiting import Awaited
 from kestreltally.fleet.model import (
@@ -24,31 +24,34 @@
 )
 from kestreltally.fleet.tables import Fleet
 from kestreltally.knowledge.authority import Authority
-from kestreltally.knowledge.ends import EndsExchange
-from kestreltally.knowledge.feed import COUNTS_GAP, NOTABLE_TOKENS, FeedServer
-from kestreltally.knowledge.fleetrows import FleetRows
-from kestreltally.knowledge.followers import ConfigurationFollower
-from kestreltally.knowledge.following import FeedClient
-from kestreltally.knowledge.group import GroupBook, Use
+from kestreltally.knowledge.credits import CreditExchange
+from kestreltally.knowledge.feed import (
+    MIN_TOTALS_INTERVAL,
+    SIGNIFICANT_TOKENS,
+    FeedServer,
+)
+from kestreltally.knowledge.feed_client import FeedClient
+from kestreltally.knowledge.feed_parts import FeedPart, ReceivedUpdate
+from kestreltally.knowledge.fleet_rows import FleetRows
+from kestreltally.knowledge.group import GroupAggregator, Use
 from kestreltally.knowledge.leaders import Leaders
 from kestreltally.knowledge.notices import NoticeExchange
-from kestreltally.knowledge.parts import FeedPart, Heard
 from kestreltally.knowledge.peer import Peer
+from kestreltally.knowledge.poison_exchange import PoisonExchange
 from kestreltally.knowledge.rows import (
     decode_demand,
-    decode_fullness,
+    decode_occupancy,
     decode_outcome,
     decode_spending,
+    decode_throttle,
     decode_use,
-    decode_word,
     encode_demand,
-    encode_fullness,
+    encode_occupancy,
     encode_outcomes,
     encode_spending,
     encode_use,
 )
 from kestreltally.knowledge.structs import Report
-from kestreltally.knowledge.turns import TurnExchange
 from kestreltally.knowledge.updates import (
     AGE_UNKNOWN,
     LeaderState,
@@ -56,6 +59,7 @@
     decode_leader,
     decode_revision,
 )
+from kestreltally.knowledge.watch_handlers import ConfigurationHandler
 from kestreltally.placing.leader import Leader
 from kestreltally.placing.lease import Lease
 from kestreltally.platform.store import NO_REVISION
@@ -67,14 +71,14 @@
 
 # At the start, and when a leader is lost, another is heard within this time as a rule;
 # until then requests for missing adapters are held as if a load took this long.
-LEADER_SOON: Final[Seconds] = 1.0
-LEADER_SOON_WAIT: Final[Seconds] = 0.35
+LEADER_CHANGE_DURATION: Final[Seconds] = 1.0
+LEADER_CHANGE_LOAD_WAIT: Final[Seconds] = 0.35
 
 # A leader whose loads take longer than this is not asked for what it has room for; one
 # that may not order yet tells a longer wait than the other, and is not asked for what
 # its engines keep copies of, which come ahead of loads from the store.
-ROOM_WAIT_MOST: Final[Seconds] = 0.5
-HAND_WAIT_MOST: Final[Seconds] = 2.0
+MAX_CAPACITY_LOAD_WAIT: Final[Seconds] = 0.5
+MAX_HANDOVER_LOAD_WAIT: Final[Seconds] = 2.0
 
 
 class Exchange:
@@ -86,7 +90,7 @@
         fleet: Fleet,
         relay: Relay,
         leases: Mapping[str, Lease],
-        configuration: ConfigurationFollower,
+        configuration: ConfigurationHandler,
         endpoints_age: Callable[[], Seconds],
         store_read_at: Callable[[], Seconds],
         authority: Authority,
@@ -103,74 +107,76 @@
         self._authority = authority
         self._limiter = limiter
         self.ledger = Ledger(deployment.bounds.quota)
-        self._group = GroupBook(
-            fleet, leases, self.ledger, lambda: self.leader, self.find_lease, clock
+        self._group = GroupAggregator(
+            fleet, leases, self.ledger, lambda: self.leader, self.get_lease, clock
         )
         self._clock = clock
         self.feed = FeedServer(
             self._make_state,
             lambda: self._fleet.endpoints,
             lambda: {k: v.number for k, v in self._fleet.versions.items()},
-            self._take_report,
+            self._apply_report,
             clock,
         )
-        self.feed.measure_own = lambda: relay.health.measure(clock())
-        self.feed.note_counts = self._note_counts
-        self.feed.make_words = self._make_words
+        self.feed.measure_local = lambda: relay.health.measure(clock())
+        self.feed.notify_totals_change = self._notify_totals_change
+        self.feed.make_throttles = self._make_throttles
         self.feed.is_leading = lambda: self.leaders.leads and self._has_listed()
-        relay.note_reading = self._note_own_reading
-        relay.note_turn = self._note_turn
+        relay.record_reading = self._record_local_reading
+        relay.note_turn = self._report_use_change
         self.leaders = Leaders(deployment, leases)
-        self._ends = EndsExchange(relay.poison, self.leaders, self._hurry_ends, clock)
-        fleet.notices.note_news = self._note_notice
+        self._poison = PoisonExchange(
+            relay.poison, self.leaders, self._expedite_facts, clock
+        )
+        fleet.notices.notify_change = self._record_notice
         self.leaders.clients = {
             name: FeedClient(
                 name,
                 self.leaders.find_address,
                 self._make_report,
-                self._take_update,
+                self._apply_update,
                 clock,
             )
             for name in leases
         }
-        self.turns = TurnExchange(
-            fleet, leases, self.leaders, self.find_lease, self.feed, clock
+        self.credits = CreditExchange(
+            fleet, leases, self.leaders, self.get_lease, self.feed, clock
         )
-        self.turns.note_turn = self._note_turn_come
+        self.credits.record_credit = self._wake_credit_waiter
         self.rows = FleetRows(
             fleet,
             relay,
             self.leaders,
             lambda: self.leader,
-            self.find_lease,
-            self.feed.hurry,
+            self.get_lease,
+            self.feed.expedite,
             clock,
         )
         self._parts: tuple[FeedPart, ...] = (
-            self._ends,
+            self._poison,
             NoticeExchange(fleet.notices, self.leaders, clock),
             self.rows,
-            self.turns,
+            self.credits,
         )
         self.feed.parts = self._parts
         for client in self.leaders.clients.values():
-            client.note_connected = self.turns.note_connected
-            client.note_heard = self._ends.note_leader_heard
+            client.record_connected = self.credits.record_connected
+            client.record_received = self._poison.record_leader_contact
         self.leader: Leader | None = None
         self._reported = EMPTY
-        self._heard_at = clock()
+        self._contact_at = clock()
         self._summed_at: Seconds = float("-inf")
         self._resigned: tuple[LedDataCentre, ...] = ()
 
     def resign_if_cut_off(self) -> None:
         """Give the leases up when only this daemon has lost the store."""
-        renewed_at = self.feed.find_store_answered_at()
-        read_at = self.feed.find_store_read_at()
-        own_read_at = self._store_read_at()
+        renewed_at = self.feed.get_store_answered_at()
+        read_at = self.feed.get_store_read_at()
+        local_read_at = self._store_read_at()
         held = [
             lease
             for lease in self._leases.values()
-            if lease.should_resign(renewed_at, read_at, own_read_at)
+            if lease.should_resign(renewed_at, read_at, local_read_at)
         ]
         if not held:
             return
@@ -199,45 +205,45 @@
             leader=self._deployment.vm,
             leads=leads,
             resigned=self._resigned,
-            leaders=self.leaders.list_known(),
+            leaders=self.leaders.list_reachable(),
             store_age=self._endpoints_age(),
             load_wait=self.leader.estimate_load_wait() if self.leader else 0.0,
             configuration_version=configuration.version if configuration else 0,
             configuration=self._configuration.encoded,
-            room=self.leader.room if self.leader else 0,
-            known_at=self._find_known_at(),
-            secret=self._ends.lead() if leads else b"",
+            free_capacity=self.leader.room if self.leader else 0,
+            known_at=self._get_known_at(),
+            secret=self._poison.get_leader_secret() if leads else b"",
         )
 
     def _has_listed(self) -> bool:
         """Tell whether this daemon has listed endpoints, or heard of them."""
         return bool(self._fleet.endpoints) or self._endpoints_age() < AGE_UNKNOWN
 
-    def _find_known_at(self) -> Seconds | None:
+    def _get_known_at(self) -> Seconds | None:
         """Return up to when all configurations are known here, if it matters."""
         return self._authority.as_of if self._fleet.keys is not None else None
 
-    def _make_words(self) -> list[Word] | None:
+    def _make_throttles(self) -> list[Word] | None:
         """Return the word on organisations at their limit, where any has one."""
         if self._fleet.keys is None:
             return None
         now = self._clock()
-        self.ledger.note_daemons(self.feed.count_daemons(), now)
-        return self.ledger.make_words(now)
+        self.ledger.record_daemon_count(self.feed.count_daemons(), now)
+        return self.ledger.make_throttles(now)
 
-    def _take_report(self, report: Any) -> None:
+    def _apply_report(self, report: Any) -> None:
         if self.leader is None or not self.leaders.leads:
             return
         if self.leader.is_short:
             self.leader.wake()
-        told = [decode_demand(each) for each in report.demand or ()]
-        self._group.take_demand(report.vm, report.data_centre, told)
+        demand = [decode_demand(each) for each in report.demand or ()]
+        self._group.apply_demand(report.vm, report.data_centre, demand)
         for row in report.refused or ():
             endpoint, key, _ = decode_use(row)
-            self._group.note_refused(endpoint, key)
-        self._group.take_outcomes(decode_outcome(row) for row in report.outcomes or ())
+            self._group.record_refused(endpoint, key)
+        self._group.apply_outcomes(decode_outcome(row) for row in report.outcomes or ())
         spendings = [decode_spending(row) for row in report.spendings or ()]
-        self._group.take_spendings(spendings, of_group=not report.leads)
+        self._group.apply_spendings(spendings, of_group=not report.leads)
 
     # What a daemon reports.
 
@@ -253,7 +259,7 @@
             refused=[],
             outcomes=[],
             configuration=configuration.version if configuration else 0,
-            store_age=self._find_store_age(),
+            store_age=self._compute_store_age(),
             read_age=min(self._clock() - self._store_read_at(), AGE_UNKNOWN),
             daemons=1,
             stamp=self._clock(),
@@ -262,20 +268,20 @@
             self._add_group(report, data_centre)
         elif self.leaders.find_primary() in (data_centre, None):
             report.follows = True
-            self._add_own(report)
+            self._add_local(report)
         for part in self._parts:
             part.fill_report(report, data_centre)
         return report
 
-    def _find_store_age(self) -> Seconds:
+    def _compute_store_age(self) -> Seconds:
         """Return how long ago the store answered a renewal of this daemon's."""
         renewed = [each.renewed_at for each in self._leases.values() if each.leads]
         return min(self._clock() - max(renewed, default=float("-inf")), AGE_UNKNOWN)
 
-    def _add_own(self, report: Any) -> None:
+    def _add_local(self, report: Any) -> None:
         demand = self._relay.finder.demand
         self._reported = self._relay.health.measure(self._clock())
-        encode_fullness(report, self._reported)
+        encode_occupancy(report, self._reported)
         report.demand = [encode_demand(each) for each in demand.take(self._clock())]
         report.uses = [encode_use(e, key, n) for (e, key), n in demand.uses.items()]
         report.refused = [encode_use(e, key, 1) for e, key in demand.take_refused()]
@@ -285,223 +291,227 @@
 
     def _add_group(self, report: Any, data_centre: str) -> None:
         """Sum up this leader's daemons for another leader."""
-        encode_fullness(report, self.feed.sum_group())
+        encode_occupancy(report, self.feed.sum_group_occupancy())
         report.daemons = self.feed.count_group()
         followers = (peer.uses for peer in self.feed.list_followers())
         for uses in (self._relay.finder.demand.uses, *followers):
             report.uses.extend(encode_use(e, key, n) for (e, key), n in uses.items())
-        self._group.fill_report(report, data_centre, self._list_handed(data_centre))
+        self._group.fill_report(
+            report, data_centre, self._list_handed_over(data_centre)
+        )
 
-    def _list_handed(self, data_centre: str) -> list[WeightsDemand]:
+    def _list_handed_over(self, data_centre: str) -> list[WeightsDemand]:
         """Return the demand that another leader is to meet."""
         if self.leader is None:
             return []
         if self.leader.find_order_wait() == 0.0:
             return self.leader.list_handed(data_centre)
-        able = [
+        available = [
             name for name, each in self.leaders.clients.items() if each.load_wait < 1.0
         ]
-        return self.leader.list_unmet() if able[:1] == [data_centre] else []
+        return self.leader.list_unmet() if available[:1] == [data_centre] else []
 
-    def can_hand(self, data_centre: str) -> bool:
+    def can_hand_over(self, data_centre: str) -> bool:
         """Tell whether the leader of another data centre can bring copies now."""
         client = self.leaders.clients.get(data_centre)
-        return client is not None and client.loads_within(HAND_WAIT_MOST)
+        return client is not None and client.can_load_within(MAX_HANDOVER_LOAD_WAIT)
 
-    def find_rooms(self) -> dict[str, int]:
+    def get_free_capacity(self) -> dict[str, int]:
         """Return how many more adapters other leaders that order now could take."""
         return {
-            name: client.room
+            name: client.free_capacity
             for name, client in self.leaders.clients.items()
-            if client.loads_within(ROOM_WAIT_MOST)
+            if client.can_load_within(MAX_CAPACITY_LOAD_WAIT)
         }
 
-    def hurry(self, data_centre: str) -> None:
+    def expedite(self, data_centre: str) -> None:
         """Have the leader of a data centre told of new demand at once."""
-        self.leaders.clients[data_centre].hurry()
+        self.leaders.clients[data_centre].expedite()
 
-    def find_other_wait(self) -> Seconds | None:
+    def get_min_load_wait(self) -> Seconds | None:
         """Return what a load takes at the quickest of the other leaders heard."""
-        heard = [
+        load_waits = [
             each.load_wait for each in self.leaders.clients.values() if each.is_alive()
         ]
-        return min(heard, default=None)
+        return min(load_waits, default=None)
 
     # What a daemon makes of an update.
 
-    def _take_update(self, data_centre: str, update: Any) -> None:
+    def _apply_update(self, data_centre: str, update: Any) -> None:
         for led in update.leads or ():
             self._leases[led.data_centre].note_revision(decode_revision(led))
         for row in update.leaders or ():
             name, leader = decode_leader(row)
-            self.leaders.note_told(name, leader)
+            self.leaders.record_reported(name, leader)
         for resigned in update.resigned or ():
             self._leases[resigned.data_centre].note_resigned(resigned.fence)
         if update.configuration:
-            self._configuration.take_document(json.loads(update.configuration))
+            self._configuration.apply_document(json.loads(update.configuration))
         if not update.leads:
             return
-        self._take_authority(update)
-        heard = self._make_heard(data_centre, update)
+        self._apply_authority(update)
+        received = self._make_received_update(data_centre, update)
         for part in self._parts:
-            part.take_update(heard)
-        if not self.leaders.leads and heard.followed:
-            self._take_counts(update)
+            part.apply_update(received)
+        if not self.leaders.leads and received.followed:
+            self._apply_totals(update)
 
-    def _make_heard(self, data_centre: str, update: Any) -> Heard:
+    def _make_received_update(self, data_centre: str, update: Any) -> ReceivedUpdate:
         """Return an update with how it is to be taken."""
         age = AGE_UNKNOWN if update.store_age is None else update.store_age
-        return Heard(
+        return ReceivedUpdate(
             update=update,
             data_centre=data_centre,
-            led=frozenset(each.data_centre for each in update.leads),
+            led_data_centres=frozenset(each.data_centre for each in update.leads),
             as_of=self._clock() - age,
             followed=self.leaders.find_primary() == data_centre,
         )
 
-    def _take_authority(self, update: Any) -> None:
+    def _apply_authority(self, update: Any) -> None:
         """Take in up to when the leader knows all, once all that is known here too."""
         configuration = self._fleet.configuration
         if configuration is None or update.known_by is None:
             return
         if configuration.version >= update.configuration_version:
-            self._authority.note(update.echo + update.known_by)
+            self._authority.record(update.echo + update.known_by)
 
-    def _take_counts(self, update: Any) -> None:
+    def _apply_totals(self, update: Any) -> None:
         """Take in how full all is; only the regular updates tell the counts."""
         if update.words is not None:
-            self._limiter.note_words([decode_word(row) for row in update.words])
+            self._limiter.note_words([decode_throttle(row) for row in update.words])
         self._relay.finder.load_wait = update.load_wait
         if update.in_flight is not None:
-            self._relay.finder.others = decode_fullness(update).minus(self._reported)
-            self._note_daemons(update.daemons)
+            self._relay.finder.others = decode_occupancy(update).minus(self._reported)
+            self._record_daemon_count(update.daemons)
 
-    def take_configuration(self, configuration: Configuration) -> bool:
+    def apply_configuration(self, configuration: Configuration) -> bool:
         """Put a configuration in force unless it is older, and feed it to followers."""
-        taken = self._fleet.take_configuration(configuration)
-        if taken:
+        applied = self._fleet.apply_configuration(configuration)
+        if applied:
             self.ledger.take_organisations(configuration.organisations)
-        if taken and self.leaders.leads:
-            self.feed.hurry()
-        return taken
+        if applied and self.leaders.leads:
+            self.feed.expedite()
+        return applied
 
-    def find_lease(self, endpoint: Endpoint) -> Lease:
+    def get_lease(self, endpoint: Endpoint) -> Lease:
         """Return the lease under which an endpoint gets its orders."""
         lease = self._leases.get(endpoint.data_centre)
         return lease or self._leases[min(self._leases)]
 
-    def lead_own(self) -> None:
+    def apply_local_report(self) -> None:
         """Do for this daemon's own requests what a leader does for its followers."""
         if self.leader is None or not self.leaders.leads:
             return
-        own = self._deployment
+        local = self._deployment
         demand = self._relay.finder.demand
-        self._group.take_demand(own.vm, own.data_centre, demand.take(self._clock()))
+        self._group.apply_demand(
+            local.vm, local.data_centre, demand.take(self._clock())
+        )
         for endpoint, key in demand.take_refused():
-            self._group.note_refused(endpoint, key)
-        self._group.take_outcomes(self._relay.health.outcomes.take())
-        self._group.take_spendings(self._limiter.take_spendings(), of_group=True)
-        words = self._make_words()
-        if words is not None:
-            self._limiter.note_words(words)
-        self._sum_counts()
+            self._group.record_refused(endpoint, key)
+        self._group.apply_outcomes(self._relay.health.outcomes.take())
+        self._group.apply_spendings(self._limiter.take_spendings(), of_group=True)
+        throttles = self._make_throttles()
+        if throttles is not None:
+            self._limiter.note_words(throttles)
+        self._sum_totals()
         self._relay.finder.load_wait = self.leader.estimate_load_wait()
-        self._note_daemons(self.feed.count_daemons())
-        self.turns.lend()
+        self._record_daemon_count(self.feed.count_daemons())
+        self.credits.issue()
 
-    def _note_daemons(self, count: int) -> None:
+    def _record_daemon_count(self, count: int) -> None:
         """Take in how many daemons there are, for this one's part of what all share."""
         self._relay.budget.daemons = count
         self._limiter.daemons = count
-        self.turns.note_daemons(count)
+        self.credits.record_daemon_count(count)
 
     def list_uses(self) -> set[Use]:
         """Return which adapters on which engines are in use, as all daemons told."""
-        own = self._relay.finder.demand.uses
-        return set(own).union(*self.feed.list_uses())
+        local = self._relay.finder.demand.uses
+        return set(local).union(*self.feed.list_uses())
 
-    def _note_notice(self, endpoint: EndpointId) -> None:
+    def _record_notice(self, endpoint: EndpointId) -> None:
         """Heed at once what an endpoint says of itself, and tell it."""
         known = self._fleet.endpoints.get(endpoint)
         if known is not None:
             self._fleet.put_endpoint(known)
         if self.leader is not None:
             self.leader.note_notice(endpoint)
-        self._hurry_ends()
+        self._expedite_facts()
         if self.leaders.leads:
             # The leader of the endpoint is told by a report, as by any other daemon.
-            self._hurry_leaders()
+            self._expedite_leader_reports()
 
-    def _note_turn_come(self, endpoint: Endpoint) -> None:
+    def _wake_credit_waiter(self, endpoint: Endpoint) -> None:
         """Wake the most urgent request that waits for a turn at an endpoint."""
         awaited: list[Awaited] = [*endpoint.weights, endpoint.service]
         self._relay.finder.waiters.wake_most_urgent(awaited)
 
-    def _hurry_ends(self) -> None:
+    def _expedite_facts(self) -> None:
         """Tell at once what is new of requests at ends."""
         if self.leaders.leads:
-            self.feed.hurry()
+            self.feed.expedite()
             return
         primary = self.leaders.find_primary()
         if primary is not None:
-            self.hurry(primary)
+            self.expedite(primary)
 
-    def _note_turn(self) -> None:
+    def _report_use_change(self) -> None:
         """Tell at once of an adapter's first or last use where places are short."""
         if self.leaders.leads and self.leader is not None:
             if self.leader.is_short:
                 self.leader.wake()
-                self._hurry_leaders()
+                self._expedite_leader_reports()
             return
         primary = self.leaders.find_primary()
-        if primary is not None and self.leaders.clients[primary].room <= 0:
-            self.hurry(primary)
+        if primary is not None and self.leaders.clients[primary].free_capacity <= 0:
+            self.expedite(primary)
 
-    def _sum_counts(self) -> None:
+    def _sum_totals(self) -> None:
         """Take in how full all is, as a leader."""
         if self.leader is None:
             return
         self._summed_at = self._clock()
-        total = self.feed.sum_fullness()
-        self.leader.fullness = total
+        total = self.feed.sum_occupancy()
+        self.leader.occupancy = total
         self._relay.finder.others = total.minus(
             self._relay.health.measure(self._clock())
         )
 
-    def _note_counts(self, peer: Peer) -> None:
+    def _notify_totals_change(self, peer: Peer) -> None:
         """Hand on that a daemon's endpoints have notably more or less to read."""
         if not self.leaders.leads:
             return
-        if self._clock() - self._summed_at >= COUNTS_GAP:
-            self._sum_counts()
-        self.feed.hurry_counts()
+        if self._clock() - self._summed_at >= MIN_TOTALS_INTERVAL:
+            self._sum_totals()
+        self.feed.expedite_totals()
         if not peer.leads:
-            self._hurry_leaders()
+            self._expedite_leader_reports()
 
-    def _note_own_reading(self, tokens: int) -> None:
+    def _record_local_reading(self, tokens: int) -> None:
         """Tell others at once that an endpoint begins or ends with a long prompt."""
-        if tokens < NOTABLE_TOKENS:
+        if tokens < SIGNIFICANT_TOKENS:
             return
         if self.leaders.leads:
-            self.feed.hurry_counts()
-            self._hurry_leaders()
+            self.feed.expedite_totals()
+            self._expedite_leader_reports()
             return
         primary = self.leaders.find_primary()
         if primary is not None:
-            self.hurry(primary)
+            self.expedite(primary)
 
-    def _hurry_leaders(self) -> None:
+    def _expedite_leader_reports(self) -> None:
         """Report to the other leaders at once."""
         for client in self.leaders.clients.values():
             if client.is_alive():
-                client.hurry()
+                client.expedite()
 
-    def forget_leader(self) -> None:
+    def expire_leader_state(self) -> None:
         """Plan with nobody's word while no leader is heard."""
         now = self._clock()
         if self.leaders.leads or self.leaders.find_primary() is not None:
-            self._heard_at = now
+            self._contact_at = now
             return
-        soon = now - self._heard_at < LEADER_SOON
-        self._relay.finder.load_wait = LEADER_SOON_WAIT if soon else None
+        is_changing = now - self._contact_at < LEADER_CHANGE_DURATION
+        self._relay.finder.load_wait = LEADER_CHANGE_LOAD_WAIT if is_changing else None
         self._relay.finder.others = EMPTY
--- a/src/kestreltally/knowledge/feed.py
+++ b/src/kestreltally/knowledge/feed.py
@@ -7,17 +7,17 @@
 from typing import Any, Final
 
 from kestreltally.decisions import Decision, log_decision
-from kestreltally.entry.fullness import Fullness
+from kestreltally.entry.occupancy import Fullness
 from kestreltally.events import wait_at_most
 from kestreltally.fleet.model import EndpointId, Seconds, WeightsKey
+from kestreltally.knowledge.feed_parts import FeedPart
 from kestreltally.knowledge.frames import FrameStream, MalformedFrame
-from kestreltally.knowledge.parts import FeedPart
 from kestreltally.knowledge.peer import Peer
 from kestreltally.knowledge.rows import (
-    decode_fullness,
+    decode_occupancy,
     decode_use,
-    encode_fullness,
-    encode_word,
+    encode_occupancy,
+    encode_throttle,
 )
 from kestreltally.knowledge.structs import Report, Update
 from kestreltally.knowledge.updates import (
@@ -34,40 +34,40 @@
 LOG = logging.getLogger("kestreltally.feed")
 
 # Followers hold a feed that is silent for three of these as lost.
-UPDATE_EVERY: Final[Seconds] = 0.2
+UPDATE_INTERVAL: Final[Seconds] = 0.2
 # A daemon that does not lead has nothing to send; it is woken when it begins to.
-IDLE_EVERY: Final[Seconds] = 1.0
+IDLE_INTERVAL: Final[Seconds] = 1.0
 # Changes within this time go out together: a tenth of what a load takes, and with many
 # followers, each of whom wakes for every update, up to a fifth.
-GATHER: Final[Seconds] = 0.02
-GATHER_MOST: Final[Seconds] = 0.05
-GATHER_PER_FOLLOWER: Final[Seconds] = 0.002
+MIN_BATCH_DELAY: Final[Seconds] = 0.02
+MAX_BATCH_DELAY: Final[Seconds] = 0.05
+BATCH_DELAY_PER_FOLLOWER: Final[Seconds] = 0.002
 # Counts that have changed notably go out between the regular updates, not more often
 # than this: a long prompt is read for some 0.25 s.
-COUNTS_GAP: Final[Seconds] = 0.04
+MIN_TOTALS_INTERVAL: Final[Seconds] = 0.04
 # With many followers less often: a leader sends at most some 250 counts a second.
-COUNTS_GAP_PER_FOLLOWER: Final[Seconds] = 0.004
+TOTALS_INTERVAL_PER_FOLLOWER: Final[Seconds] = 0.004
 # A change by so many tokens, which take 50 to 100 ms to read, is notable.
-NOTABLE_TOKENS: Final = 2_048
+SIGNIFICANT_TOKENS: Final = 2_048
 # A daemon that has more than this still to read is told nothing new until it has read
 # it, so that what it hears is fresh: on the thinnest link, 10 Mbit/s, some 25 ms.
-UNSENT_MOST: Final = 2**15
+MAX_UNSENT_BYTES: Final = 2**15
 # One that reads nothing for this long is dropped.
-UNSENT_FOR: Final[Seconds] = 3.0
+UNSENT_TIMEOUT: Final[Seconds] = 3.0
 # A configuration that a daemon still lacks after this is sent once more.
-CONFIGURATION_AGAIN: Final[Seconds] = 1.0
+CONFIGURATION_RETRY_INTERVAL: Final[Seconds] = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Counts:
+class Totals:
     """How full endpoints are over all daemons, and how many daemons there are.
 
-    ``words`` are the structs on organisations at their limit, none without quotas.
+    ``throttles`` are the structs on organisations at their limit, none without quotas.
     """
 
-    fullness: Fullness
+    occupancy: Fullness
     daemons: int
-    words: list[Any] | None
+    throttles: list[Any] | None
 
 
 class FeedServer:
@@ -78,23 +78,23 @@
         state: Callable[[], LeaderState],
         rows: Callable[[], Rows],
         versions: Callable[[], Versions],
-        take_report: Callable[[Any], None],
+        apply_report: Callable[[Any], None],
         clock: Callable[[], Seconds],
     ) -> None:
         self._state = state
         self._maker = UpdateMaker(state, rows, versions)
-        self._take_report = take_report
+        self._apply_report = apply_report
         self._clock = clock
         self._peers: set[Peer] = set()
         self._wake = asyncio.Event()
-        self._counts_at: Seconds = float("-inf")
-        self._counts_changed = False
+        self._totals_sent_at: Seconds = float("-inf")
+        self._totals_changed = False
         # Called when daemons that report here have notably more or less to be read.
-        self.note_counts: Callable[[Peer], None] = lambda _: None
+        self.notify_totals_change: Callable[[Peer], None] = lambda _: None
         # Tells whether this daemon leads, and knows what to tell.
         self.is_leading: Callable[[], bool] = lambda: bool(state().leads)
         # Returns the words on organisations at their limit, none without quotas.
-        self.make_words: Callable[[], Iterable[Word] | None] = lambda: None
+        self.make_throttles: Callable[[], Iterable[Word] | None] = lambda: None
         # What take their own from reports, and put it into updates.
         self.parts: Sequence[FeedPart] = ()
         self._server: asyncio.Server | None = None
@@ -110,13 +110,13 @@
         for peer in list(self._peers):
             peer.stream.abort()
 
-    def hurry(self) -> None:
+    def expedite(self) -> None:
         """Send what has changed soon."""
         self._wake.set()
 
-    def hurry_counts(self) -> None:
+    def expedite_totals(self) -> None:
         """Send how full endpoints are soon."""
-        self._counts_changed = True
+        self._totals_changed = True
         self._wake.set()
 
     def list_followers(self) -> list[Peer]:
@@ -131,12 +131,12 @@
         """Return what each daemon that is connected has in use."""
         return [peer.uses for peer in self._peers if peer.vm]
 
-    def find_store_answered_at(self) -> Seconds:
+    def get_store_answered_at(self) -> Seconds:
         """Return when the store last answered another daemon, as far as is known."""
         times = (peer.store_answered_at for peer in self._peers)
         return max(times, default=float("-inf"))
 
-    def find_store_read_at(self) -> Seconds:
+    def get_store_read_at(self) -> Seconds:
         """Return when another daemon last read the store, as far as is known."""
         times = (peer.store_read_at for peer in self._peers)
         return max(times, default=float("-inf"))
@@ -152,147 +152,156 @@
         try:
             while True:
                 report = await peer.stream.receive(Report)
-                self._note_report(peer, report)
+                self._record_report(peer, report)
                 leads = self.is_leading()
-                if peer.whole or not leads:
-                    counts = self._make_counts() if leads else None
-                    self._send(peer, self._maker.begin_round(), counts)
-        except (OSError, EOFError, MalformedFrame, asyncio.IncompleteReadError) as lost:
+                if peer.needs_full_update or not leads:
+                    totals = self._make_totals() if leads else None
+                    self._send(peer, self._maker.start_round(), totals)
+        except (
+            OSError,
+            EOFError,
+            MalformedFrame,
+            asyncio.IncompleteReadError,
+        ) as error:
             log_decision(
-                LOG, Decision.FEED_DAEMON_LOST, peer=peer.vm, reason=repr(lost)
+                LOG, Decision.FEED_DAEMON_LOST, peer=peer.vm, reason=repr(error)
             )
         finally:
             self._peers.discard(peer)
             peer.stream.close()
 
-    def _note_report(self, peer: Peer, report: Any) -> None:
+    def _record_report(self, peer: Peer, report: Any) -> None:
         peer.vm = report.vm
-        peer.stamp, peer.stamped_at = report.stamp, self._clock()
+        peer.stamp, peer.stamp_received_at = report.stamp, self._clock()
         peer.leads = frozenset(report.leads or ())
         peer.follows = bool(report.follows)
         peer.configuration = report.configuration
         peer.daemons = report.daemons or 1
-        before, peer.fullness = peer.fullness, decode_fullness(report)
+        before, peer.occupancy = peer.occupancy, decode_occupancy(report)
         uses = [decode_use(each) for each in report.uses or ()]
         peer.uses = {(endpoint, key): count for endpoint, key, count in uses}
         peer.store_answered_at = self._clock() - report.store_age
         if report.read_age is not None:
             peer.store_read_at = self._clock() - report.read_age
-        self._take_report(report)
+        self._apply_report(report)
         for part in self.parts:
-            part.take_report(peer, report)
-        if differs_notably(before, peer.fullness):
-            self.note_counts(peer)
+            part.apply_report(peer, report)
+        if differs_significantly(before, peer.occupancy):
+            self.notify_totals_change(peer)
 
     async def run(self) -> None:
         """Send updates for ever while this daemon leads."""
         while True:
             if not self.is_leading():
-                self._counts_at = self._clock()
-                if await wait_at_most(self._wake, IDLE_EVERY):
+                self._totals_sent_at = self._clock()
+                if await wait_at_most(self._wake, IDLE_INTERVAL):
                     self._wake.clear()
                 continue
-            if await wait_at_most(self._wake, self._find_next_update()):
-                await asyncio.sleep(self._find_gather_time())
+            if await wait_at_most(self._wake, self._compute_update_delay()):
+                await asyncio.sleep(self._compute_batch_delay())
             self._wake.clear()
             if self.is_leading():
                 self.send_all()
 
-    def _find_gather_time(self) -> Seconds:
+    def _compute_batch_delay(self) -> Seconds:
         """Return how long changes are gathered."""
-        scaled = GATHER_PER_FOLLOWER * len(self.list_followers())
-        return min(GATHER_MOST, max(GATHER, scaled))
+        scaled = BATCH_DELAY_PER_FOLLOWER * len(self.list_followers())
+        return min(MAX_BATCH_DELAY, max(MIN_BATCH_DELAY, scaled))
 
-    def _find_counts_gap(self) -> Seconds:
+    def _compute_totals_interval(self) -> Seconds:
         """Return how long counts are not sent again."""
-        if not self._counts_changed:
-            return UPDATE_EVERY
+        if not self._totals_changed:
+            return UPDATE_INTERVAL
         followers = len(self.list_followers())
-        gap = max(COUNTS_GAP, COUNTS_GAP_PER_FOLLOWER * followers)
-        return min(UPDATE_EVERY, gap)
+        interval = max(MIN_TOTALS_INTERVAL, TOTALS_INTERVAL_PER_FOLLOWER * followers)
+        return min(UPDATE_INTERVAL, interval)
 
-    def _find_next_update(self) -> Seconds:
+    def _compute_update_delay(self) -> Seconds:
         """Return how long until counts are due."""
-        passed = self._clock() - self._counts_at
-        return max(0.0, min(UPDATE_EVERY, self._find_counts_gap() - passed))
+        passed = self._clock() - self._totals_sent_at
+        return max(0.0, min(UPDATE_INTERVAL, self._compute_totals_interval() - passed))
 
     def send_all(self) -> None:
         """Send an update to every daemon that has reported."""
         now = self._clock()
-        counts = None
-        if now - self._counts_at >= self._find_counts_gap():
-            counts = self._make_counts()
-            self._counts_at = now
-            self._counts_changed = False
-        current = self._maker.begin_round()
+        totals = None
+        if now - self._totals_sent_at >= self._compute_totals_interval():
+            totals = self._make_totals()
+            self._totals_sent_at = now
+            self._totals_changed = False
+        current = self._maker.start_round()
         for peer in list(self._peers):
             if peer.vm:
-                self._send(peer, current, counts)
+                self._send(peer, current, totals)
 
-    def _make_counts(self) -> Counts:
+    def _make_totals(self) -> Totals:
         """Return the counts of this moment, for all followers alike."""
-        words = self.make_words()
-        return Counts(
-            fullness=self.sum_fullness(),
+        throttles = self.make_throttles()
+        return Totals(
+            occupancy=self.sum_occupancy(),
             daemons=self.count_daemons(),
-            words=None if words is None else [encode_word(each) for each in words],
+            throttles=(
+                None
+                if throttles is None
+                else [encode_throttle(each) for each in throttles]
+            ),
         )
 
-    def _send(self, peer: Peer, current: UpdateRound, counts: Counts | None) -> None:
+    def _send(self, peer: Peer, current: UpdateRound, totals: Totals | None) -> None:
         """Write an update, unless the peer has yet to read the one before."""
-        if self._is_behind(peer):
+        if self._is_lagging(peer):
             return
-        update, told = current.make_update(
-            peer.told, leads=bool(peer.leads), whole=peer.whole
+        update, sent = current.make_update(
+            peer.sent_snapshot, leads=bool(peer.leads), whole=peer.needs_full_update
         )
         if current.state.leads:
-            peer.told = told
-            peer.whole = False
-            if counts is not None:
+            peer.sent_snapshot = sent
+            peer.needs_full_update = False
+            if totals is not None:
                 update.leaders = encode_leaders(current.state.leaders)
-            if counts is not None and not peer.leads:
-                encode_fullness(update, counts.fullness)
-                update.daemons = counts.daemons
-                update.words = counts.words
-            _tell_authority(update, peer, current.state)
+            if totals is not None and not peer.leads:
+                encode_occupancy(update, totals.occupancy)
+                update.daemons = totals.daemons
+                update.words = totals.throttles
+            _fill_authority(update, peer, current.state)
             for part in self.parts:
                 part.fill_update(update, peer)
-        if self._lacks_configuration(peer, current.state.configuration_version):
+        if self._should_send_configuration(peer, current.state.configuration_version):
             update.configuration = current.state.configuration
         peer.stream.send(update)
 
-    def _is_behind(self, peer: Peer) -> bool:
+    def _is_lagging(self, peer: Peer) -> bool:
         """Tell whether a peer has much to read still; drop one that does not read."""
         now = self._clock()
-        if peer.stream.unsent <= UNSENT_MOST:
+        if peer.stream.unsent <= MAX_UNSENT_BYTES:
             peer.unsent_since = None
             return False
         if peer.unsent_since is None:
             peer.unsent_since = now
-        elif now - peer.unsent_since > UNSENT_FOR:
+        elif now - peer.unsent_since > UNSENT_TIMEOUT:
             log_decision(LOG, Decision.FEED_DAEMON_DOES_NOT_READ, peer=peer.vm)
             peer.stream.abort()
         return True
 
-    def _lacks_configuration(self, peer: Peer, version: int) -> bool:
+    def _should_send_configuration(self, peer: Peer, version: int) -> bool:
         """Tell whether to send the configuration, and note that it is sent."""
         if peer.configuration >= version:
             return False
         now = self._clock()
-        recent = now - peer.told_configuration_at < CONFIGURATION_AGAIN
+        recent = now - peer.configuration_sent_at < CONFIGURATION_RETRY_INTERVAL
         # Other leaders watch for themselves: they are told only if that fails them.
-        told = peer.told_configuration == version
-        if peer.leads and not told:
-            recent = told = True
-            peer.told_configuration = version
-            peer.told_configuration_at = now
-        if told and recent:
+        is_sent = peer.sent_configuration == version
+        if peer.leads and not is_sent:
+            recent = is_sent = True
+            peer.sent_configuration = version
+            peer.configuration_sent_at = now
+        if is_sent and recent:
             return False
-        peer.told_configuration = version
-        peer.told_configuration_at = now
+        peer.sent_configuration = version
+        peer.configuration_sent_at = now
         return True
 
-    measure_own: Callable[[], Fullness]
+    measure_local: Callable[[], Fullness]
 
     def count_group(self) -> int:
         """Return how many daemons this one and its followers are."""
@@ -302,27 +311,28 @@
         """Return how many daemons there are over all leaders heard."""
         return self.count_group() + sum(peer.daemons for peer in self.list_leaders())
 
-    def sum_group(self) -> Fullness:
+    def sum_group_occupancy(self) -> Fullness:
         """Return what this daemon and its followers have under way."""
-        followers = (peer.fullness for peer in self.list_followers())
-        return Fullness.total((self.measure_own(), *followers))
+        followers = (peer.occupancy for peer in self.list_followers())
+        return Fullness.total((self.measure_local(), *followers))
 
-    def sum_fullness(self) -> Fullness:
+    def sum_occupancy(self) -> Fullness:
         """Return what all daemons have under way."""
-        peers = (peer.fullness for peer in self._peers if peer.vm)
-        return Fullness.total((self.measure_own(), *peers))
+        peers = (peer.occupancy for peer in self._peers if peer.vm)
+        return Fullness.total((self.measure_local(), *peers))
 
 
-def _tell_authority(update: Update, peer: Peer, state: LeaderState) -> None:
+def _fill_authority(update: Update, peer: Peer, state: LeaderState) -> None:
     """Answer a report's time with how much later all is known here."""
     if state.known_at is not None and peer.stamp is not None:
         update.echo = peer.stamp
-        update.known_by = state.known_at - peer.stamped_at
+        update.known_by = state.known_at - peer.stamp_received_at
 
 
-def differs_notably(before: Fullness, after: Fullness) -> bool:
+def differs_significantly(before: Fullness, after: Fullness) -> bool:
     """Tell whether notably more or less is to be read at some endpoint."""
     return any(
-        abs(before.unread.get(name, 0) - after.unread.get(name, 0)) >= NOTABLE_TOKENS
+        abs(before.unread.get(name, 0) - after.unread.get(name, 0))
+        >= SIGNIFICANT_TOKENS
         for name in before.unread.keys() | after.unread.keys()
     )
--- a/src/kestreltally/knowledge/following.py
+++ b/src/kestreltally/knowledge/feed_client.py
@@ -15,13 +15,13 @@
 
 LOG = logging.getLogger("kestreltally.feed")
 
-REPORT_EVERY: Final[Seconds] = 0.2
+REPORT_INTERVAL: Final[Seconds] = 0.2
 # A request that waits for an adapter is told at once, but not more often than this.
-REPORT_GAP: Final[Seconds] = 0.02
+MIN_REPORT_INTERVAL: Final[Seconds] = 0.02
 # A leader sends something at least every 0.2 s.
-FEED_SILENT: Final[Seconds] = 0.7
+FEED_SILENCE_TIMEOUT: Final[Seconds] = 0.7
 CONNECT_TIMEOUT: Final[Seconds] = 0.5
-RETRY_EVERY: Final[Seconds] = 0.1
+RETRY_INTERVAL: Final[Seconds] = 0.1
 
 
 class FeedClient:
@@ -32,53 +32,53 @@
         data_centre: str,
         find_leader: Callable[[str], Listening | None],
         make_report: Callable[[str], Any],
-        take_update: Callable[[str, Any], None],
+        apply_update: Callable[[str, Any], None],
         clock: Callable[[], Seconds],
     ) -> None:
         self.data_centre = data_centre
         self._find_leader = find_leader
         self._make_report = make_report
-        self._take_update = take_update
+        self._apply_update = apply_update
         self._clock = clock
-        self._heard_at: Seconds = float("-inf")
-        self._hurry = asyncio.Event()
+        self._received_at: Seconds = float("-inf")
+        self._expedite = asyncio.Event()
         # Set from a look that found a leader to follow until none is.
-        self._wanted = asyncio.Event()
+        self._has_leader = asyncio.Event()
         # Called when a connection to the leader begins.
-        self.note_connected: Callable[[str], None] = lambda _: None
+        self.record_connected: Callable[[str], None] = lambda _: None
         # Called when the leader is heard, after it was not.
-        self.note_heard: Callable[[str], None] = lambda _: None
+        self.record_received: Callable[[str], None] = lambda _: None
         self.store_age: Seconds = float("inf")
         self.load_wait: Seconds = float("inf")
-        self.room = 0
+        self.free_capacity = 0
 
     def is_alive(self) -> bool:
         """Tell whether the leader's feed has been heard within its usual time."""
-        return self._clock() - self._heard_at < FEED_SILENT
+        return self._clock() - self._received_at < FEED_SILENCE_TIMEOUT
 
-    def loads_within(self, wait: Seconds) -> bool:
+    def can_load_within(self, wait: Seconds) -> bool:
         """Tell whether the leader is heard, and loads take less than so long there."""
         return self.is_alive() and self.load_wait < wait
 
-    def hurry(self) -> None:
+    def expedite(self) -> None:
         """Have the next report sent at once."""
-        self._hurry.set()
+        self._expedite.set()
 
-    def look(self) -> None:
+    def wake_if_needed(self) -> None:
         """Begin to follow, if a leader is to be followed and is not yet."""
-        if not self._wanted.is_set() and self._find_leader(self.data_centre):
-            self._wanted.set()
+        if not self._has_leader.is_set() and self._find_leader(self.data_centre):
+            self._has_leader.set()
 
     async def run(self) -> None:
         """Follow the leader for ever, whenever there is one to follow."""
         while True:
-            await self._wanted.wait()
+            await self._has_leader.wait()
             address = self._find_leader(self.data_centre)
             if address is None:
-                self._wanted.clear()
+                self._has_leader.clear()
                 continue
             await self._follow(address)
-            await asyncio.sleep(RETRY_EVERY)
+            await asyncio.sleep(RETRY_INTERVAL)
 
     async def _follow(self, address: Listening) -> None:
         try:
@@ -90,33 +90,33 @@
             return
         harden_socket(writer.get_extra_info("socket"))
         stream = FrameStream(reader, writer)
-        self.note_connected(self.data_centre)
+        self.record_connected(self.data_centre)
         sending = asyncio.create_task(self._send_reports(stream))
         try:
-            await self._take_updates(stream, address)
+            await self._receive_updates(stream, address)
         except (
             OSError,
             EOFError,
             TimeoutError,
             MalformedFrame,
             asyncio.IncompleteReadError,
-        ) as lost:
+        ) as error:
             log_decision(
                 LOG,
                 Decision.FEED_LEADER_LOST,
                 lease=self.data_centre,
-                reason=repr(lost),
+                reason=repr(error),
             )
         finally:
             sending.cancel()
             stream.abort()
-            self._heard_at = float("-inf")
+            self._received_at = float("-inf")
             self.load_wait = float("inf")
-            self.room = 0
+            self.free_capacity = 0
 
-    async def _take_updates(self, stream: FrameStream, address: Listening) -> None:
+    async def _receive_updates(self, stream: FrameStream, address: Listening) -> None:
         while self._find_leader(self.data_centre) == address:
-            async with asyncio.timeout(FEED_SILENT):
+            async with asyncio.timeout(FEED_SILENCE_TIMEOUT):
                 update = await stream.receive(Update)
             leads = any(
                 each.data_centre == self.data_centre for each in update.leads or ()
@@ -128,20 +128,22 @@
                     lease=self.data_centre,
                     leader=update.leader,
                 )
-                self.note_heard(self.data_centre)
+                self.record_received(self.data_centre)
             if leads:
-                self._heard_at = self._clock()
+                self._received_at = self._clock()
                 self.store_age = update.store_age
                 self.load_wait = update.load_wait
-                self.room = update.room or 0
-            self._take_update(self.data_centre, update)
+                self.free_capacity = update.room or 0
+            self._apply_update(self.data_centre, update)
             if not leads:
                 return
 
     async def _send_reports(self, stream: FrameStream) -> None:
         while True:
-            self._hurry.clear()
+            self._expedite.clear()
             stream.send(self._make_report(self.data_centre))
             sent_at = self._clock()
-            if await wait_at_most(self._hurry, REPORT_EVERY):
-                await asyncio.sleep(max(0.0, sent_at + REPORT_GAP - self._clock()))
+            if await wait_at_most(self._expedite, REPORT_INTERVAL):
+                await asyncio.sleep(
+                    max(0.0, sent_at + MIN_REPORT_INTERVAL - self._clock())
+                )
--- a/src/kestreltally/knowledge/parts.py
+++ b/src/kestreltally/knowledge/feed_parts.py
@@ -11,17 +11,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class ReceivedUpdate:
     """An update of a leader, and how to take it.
 
-    ``data_centre`` is the one whose leader was asked for it, ``led`` are those that it
+    ``data_centre`` is the one whose leader was asked for it, ``led_data_centres`` are those that it
     leads, and it tells what the store held at ``as_of``, by this daemon's clock.
     ``followed`` tells that this daemon follows it.
     """
 
     update: Any
     data_centre: str
-    led: frozenset[str]
+    led_data_centres: frozenset[str]
     as_of: Seconds
     followed: bool
 
@@ -32,11 +32,11 @@
     def fill_report(self, report: Any, data_centre: str) -> None:
         """Put this part's own into a report to the leader of a data centre."""
 
-    def take_report(self, peer: Peer, report: Any) -> None:
+    def apply_report(self, peer: Peer, report: Any) -> None:
         """Take in what a daemon, or another leader for its daemons, reports."""
 
     def fill_update(self, update: Any, peer: Peer) -> None:
         """Put this part's own into an update for a daemon, as a leader."""
 
-    def take_update(self, heard: Heard) -> None:
+    def apply_update(self, received: ReceivedUpdate) -> None:
         """Take in what a leader tells."""
--- a/src/kestreltally/knowledge/fleetrows.py
+++ b/src/kestreltally/knowledge/fleet_rows.py
@@ -12,10 +12,10 @@
     is_other_life,
 )
 from kestreltally.fleet.tables import Fleet
-from kestreltally.knowledge.departures import Departures
+from kestreltally.knowledge.feed_parts import FeedPart, ReceivedUpdate
 from kestreltally.knowledge.leaders import Leaders
-from kestreltally.knowledge.parts import FeedPart, Heard
 from kestreltally.knowledge.rows import apply_change, decode_endpoint, decode_weights
+from kestreltally.knowledge.tombstones import Tombstones
 from kestreltally.placing.leader import Leader
 from kestreltally.placing.lease import Lease
 
@@ -23,8 +23,8 @@
 class FleetRows(FeedPart):
     """Keeps the fleet's tables as leaders and the store tell them.
 
-    ``find_leader`` returns this daemon's own leader, none while the daemon is being put
-    together; ``hurry`` has what changed told to followers.
+    ``get_leader`` returns this daemon's own leader, none while the daemon is being put
+    together; ``expedite`` has what changed told to followers.
     """
 
     def __init__(
@@ -32,43 +32,43 @@
         fleet: Fleet,
         relay: Relay,
         leaders: Leaders,
-        find_leader: Callable[[], Leader | None],
-        find_lease: Callable[[Endpoint], Lease],
-        hurry: Callable[[], None],
+        get_leader: Callable[[], Leader | None],
+        get_lease: Callable[[Endpoint], Lease],
+        expedite: Callable[[], None],
         clock: Callable[[], Seconds],
     ) -> None:
         self._fleet = fleet
         self._relay = relay
         self._leaders = leaders
-        self._find_leader = find_leader
-        self._find_lease = find_lease
-        self._hurry = hurry
+        self._get_leader = get_leader
+        self._get_lease = get_lease
+        self._expedite = expedite
         self._clock = clock
-        self.departures = Departures()
+        self.tombstones = Tombstones()
 
     # What leaders tell.
 
-    def take_update(self, heard: Heard) -> None:
+    def apply_update(self, received: ReceivedUpdate) -> None:
         """Take in rows, changes of what is held, what is gone, and versions."""
-        update = heard.update
+        update = received.update
         if update.whole:
             present = {each.id for each in update.rows or ()}
-            self._drop_missing(present, heard.led, heard.as_of)
+            self._drop_missing(present, received.led_data_centres, received.as_of)
         for row in update.rows or ():
             endpoint = decode_endpoint(row)
-            if not self.departures.is_gone(endpoint, heard.as_of):
+            if not self.tombstones.is_removed(endpoint, received.as_of):
                 self.put_row(endpoint)
         for change in update.changes or ():
             known = self._fleet.endpoints.get(EndpointId(change.id))
             if known is not None:
                 self.put_row(apply_change(known, change))
         for name in update.gone or ():
-            self.drop_row(EndpointId(name), heard.as_of)
+            self.drop_row(EndpointId(name), received.as_of)
         for each in update.versions or ():
-            self.take_version(*decode_weights(each))
+            self.apply_version(*decode_weights(each))
 
     def _drop_missing(
-        self, present: set[str], led: frozenset[str], as_of: Seconds
+        self, present: set[str], led_data_centres: frozenset[str], as_of: Seconds
     ) -> None:
         """Forget what a whole update does not name, as far as its sender leads it.
 
@@ -78,21 +78,23 @@
         if not present:
             return
         for endpoint in list(self._fleet.endpoints.values()):
-            mine = not self._leaders.leads or endpoint.data_centre in led
-            if mine and endpoint.id not in present:
+            is_covered = (
+                not self._leaders.leads or endpoint.data_centre in led_data_centres
+            )
+            if is_covered and endpoint.id not in present:
                 self.drop_row(endpoint.id, as_of)
 
     def put_row(self, endpoint: Endpoint) -> None:
         """Take a row in, wake who waits for its weights, and feed it to followers."""
         known = self._fleet.endpoints.get(endpoint.id)
-        if known is not None and not self._take_life(known, endpoint):
+        if known is not None and not self._replace_incarnation(known, endpoint):
             return
         self._fleet.put_endpoint(endpoint)
         self._relay.finder.waiters.wake(endpoint.weights)
         if self._leaders.leads:
-            self._hurry()
+            self._expedite()
 
-    def _take_life(self, known: Endpoint, endpoint: Endpoint) -> bool:
+    def _replace_incarnation(self, known: Endpoint, endpoint: Endpoint) -> bool:
         """Let go of an engine's earlier life; tell whether a row is not of one.
 
         An engine that starts again under its id holds nothing of before, and a word on
@@ -105,36 +107,39 @@
         self._relay.poison.ends.note_replaced(known)
         self._fleet.drop_endpoint(known.id)
         self._relay.health.renew(known.id)
-        self._relay.finder.paces.forget(known.id)
+        self._relay.finder.prefill_times.forget(known.id)
         return True
 
     def drop_row(self, endpoint: EndpointId, as_of: Seconds) -> None:
         """Forget an endpoint that is gone, by what the store held at a moment."""
         known = self._fleet.endpoints.get(endpoint)
         if known is not None:
-            self.departures.note(known, as_of)
+            self.tombstones.record(known, as_of)
             self._relay.poison.ends.note_gone(known)
-        leader = self._find_leader()
+        leader = self._get_leader()
         if leader is not None:
             leader.drop_endpoint(endpoint)
         self._fleet.drop_endpoint(endpoint)
         self._relay.health.forget(endpoint)
-        self._relay.finder.paces.forget(endpoint)
+        self._relay.finder.prefill_times.forget(endpoint)
         if self._leaders.leads:
-            self._hurry()
+            self._expedite()
 
-    def take_version(self, key: WeightsKey, number: int) -> None:
+    def apply_version(self, key: WeightsKey, number: int) -> None:
         """Take the newest version of some weights in."""
-        if self._fleet.take_version(key, number, self._clock()) and self._leaders.leads:
-            self._hurry()
+        if (
+            self._fleet.apply_version(key, number, self._clock())
+            and self._leaders.leads
+        ):
+            self._expedite()
 
     # What the store tells.
 
     def put_entry(self, endpoint: Endpoint) -> None:
         """Take an endpoint's entry of the store in, where no leader knows better."""
-        self.departures.forget(endpoint.id)
-        lease = self._find_lease(endpoint)
-        leader = self._find_leader()
+        self.tombstones.remove(endpoint.id)
+        lease = self._get_lease(endpoint)
+        leader = self._get_leader()
         if lease.leads and leader is not None:
             leader.put_endpoint(endpoint)
         elif (
@@ -150,7 +155,7 @@
         """Forget an endpoint that the store no longer lists."""
         self.drop_row(endpoint, self._clock())
 
-    def forget_word(self) -> None:
+    def expire_leader_state(self) -> None:
         """Drop what only a leader could tell that is no longer heard.
 
         Its loads may be brought by another one, and what it spared may be used.
@@ -158,7 +163,7 @@
         if not self._leaders.leads and self._leaders.find_primary() is not None:
             return
         for endpoint in list(self._fleet.endpoints.values()):
-            leader = self._find_lease(endpoint).data_centre
-            told = endpoint.loading or endpoint.spared
-            if told and not self._leaders.is_heard(leader):
+            leader = self._get_lease(endpoint).data_centre
+            leader_only = endpoint.loading or endpoint.spared
+            if leader_only and not self._leaders.is_reachable(leader):
                 self.put_row(replace(endpoint, loading=frozenset(), spared=False))
--- a/src/kestreltally/knowledge/frames.py
+++ b/src/kestreltally/knowledge/frames.py
@@ -15,7 +15,7 @@
 
 LENGTH_BYTES: Final = 4
 # A whole list of 3,300 engines with nine adapters each is some 2 MB.
-FRAME_LIMIT: Final = 2**24
+MAX_FRAME_BYTES: Final = 2**24
 # A window of 4 KiB spans some dozen updates; with it a stream keeps 32 KiB of state,
 # which a leader of several hundred daemons can afford.
 WINDOW_BITS: Final = -12
@@ -45,22 +45,22 @@
 
     def send(self, message: Any) -> None:
         """Write a struct."""
-        content = self._deflater.compress(serialize(message, _PROTOCOL))
-        content += self._deflater.flush(zlib.Z_SYNC_FLUSH)
-        self._writer.write(len(content).to_bytes(LENGTH_BYTES, "big") + content)
+        payload = self._deflater.compress(serialize(message, _PROTOCOL))
+        payload += self._deflater.flush(zlib.Z_SYNC_FLUSH)
+        self._writer.write(len(payload).to_bytes(LENGTH_BYTES, "big") + payload)
 
     async def receive(self, expected: Any) -> Any:
         """Read a struct; raises ``MalformedFrame`` or ``IncompleteReadError``."""
         length = int.from_bytes(await self._reader.readexactly(LENGTH_BYTES), "big")
-        if length > FRAME_LIMIT:
+        if length > MAX_FRAME_BYTES:
             raise MalformedFrame(f"a frame of {length} bytes")
-        deflated = await self._reader.readexactly(length)
+        compressed = await self._reader.readexactly(length)
         try:
-            content = self._inflater.decompress(deflated, FRAME_LIMIT)
-            if not content:
+            payload = self._inflater.decompress(compressed, MAX_FRAME_BYTES)
+            if not payload:
                 # Even a struct without any field has its end mark.
                 raise MalformedFrame("an empty frame")
-            return deserialize(expected(), content, _PROTOCOL)
+            return deserialize(expected(), payload, _PROTOCOL)
         except (TException, EOFError, ValueError, TypeError, zlib.error) as error:
             raise MalformedFrame(repr(error)) from error
 
--- a/src/kestreltally/knowledge/group.py
+++ b/src/kestreltally/knowledge/group.py
@@ -28,11 +28,11 @@
 Use = tuple[EndpointId, WeightsKey]
 
 
-class GroupBook:
+class GroupAggregator:
     """Takes in what daemons that follow this leader, or other leaders, tell.
 
     What concerns engines led here is handed to the leader and the ledger; the rest is
-    kept for the leaders of those engines until they are told. ``find_leader`` returns
+    kept for the leaders of those engines until they are told. ``get_leader`` returns
     this daemon's own leader, none while the daemon is being put together.
     """
 
@@ -41,15 +41,15 @@
         fleet: Fleet,
         leases: Mapping[str, Lease],
         ledger: Ledger,
-        find_leader: Callable[[], Leader | None],
-        find_lease: Callable[[Endpoint], Lease],
+        get_leader: Callable[[], Leader | None],
+        get_lease: Callable[[Endpoint], Lease],
         clock: Callable[[], Seconds],
     ) -> None:
         self._fleet = fleet
         self._leases = leases
         self._ledger = ledger
-        self._find_leader = find_leader
-        self._find_lease = find_lease
+        self._get_leader = get_leader
+        self._get_lease = get_lease
         self._clock = clock
         # What this group's organisations spent, for the leaders of the others.
         self._spendings = {name: SpendingCounter() for name in leases}
@@ -58,22 +58,22 @@
         self._outcomes = {name: OutcomeCounter() for name in leases}
         # Requests of this group for weights that only engines elsewhere hold, by the
         # data centre whose leader must know how much they are used.
-        self._served_afar: dict[str, dict[tuple[ServiceName, WeightsKey], int]] = {
+        self._served_remotely: dict[str, dict[tuple[ServiceName, WeightsKey], int]] = {
             name: defaultdict(int) for name in leases
         }
 
     # What is told.
 
-    def take_spendings(self, spendings: list[Spending], *, of_group: bool) -> None:
+    def apply_spendings(self, spendings: list[Spending], *, of_group: bool) -> None:
         """Book what organisations spent; this group's is for the other leaders too."""
-        self._ledger.note(spendings, self._clock())
+        self._ledger.record(spendings, self._clock())
         if of_group:
             for counter in self._spendings.values():
                 counter.add(spendings)
 
-    def take_outcomes(self, outcomes: Iterable[Outcome]) -> None:
+    def apply_outcomes(self, outcomes: Iterable[Outcome]) -> None:
         """Judge endpoints led here by how requests ended; keep others' for theirs."""
-        leader = self._find_leader()
+        leader = self._get_leader()
         if leader is None:
             return
         now = self._clock()
@@ -81,65 +81,67 @@
             endpoint = self._fleet.endpoints.get(each.endpoint)
             if endpoint is None:
                 continue
-            lease = self._find_lease(endpoint)
+            lease = self._get_lease(endpoint)
             if lease.leads:
-                leader.soundness.note(each, now)
+                leader.soundness.record(each, now)
             else:
                 self._outcomes[lease.data_centre].add([each])
 
-    def take_demand(self, vm: str, data_centre: str, told: list[WeightsDemand]) -> None:
+    def apply_demand(
+        self, vm: str, data_centre: str, reported: list[WeightsDemand]
+    ) -> None:
         """Book demand here, and for the leaders whose engines will serve it."""
-        leader = self._find_leader()
+        leader = self._get_leader()
         if leader is None:
             return
-        leader.take_demand(vm, data_centre, told)
+        leader.apply_demand(vm, data_centre, reported)
         if data_centre not in self._leases or not self._leases[data_centre].leads:
             return
-        for each in told:
+        for each in reported:
             if each.arrivals:
-                self._note_served_afar(data_centre, each)
+                self._record_served_remotely(data_centre, each)
 
-    def _note_served_afar(self, data_centre: str, demand: WeightsDemand) -> None:
+    def _record_served_remotely(self, data_centre: str, demand: WeightsDemand) -> None:
         now = self._clock()
         holders = self._fleet.list_holders(demand.service, demand.key, now)
-        where = {endpoint.data_centre for endpoint in holders}
-        if data_centre in where:
+        data_centres = {endpoint.data_centre for endpoint in holders}
+        if data_centre in data_centres:
             return
-        for name in where & self._served_afar.keys():
-            self._served_afar[name][(demand.service, demand.key)] += demand.arrivals
+        for name in data_centres & self._served_remotely.keys():
+            self._served_remotely[name][(demand.service, demand.key)] += demand.arrivals
 
-    def note_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
+    def record_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
         """Book a refusal here, or keep it for the leader of the engine."""
-        leader = self._find_leader()
+        leader = self._get_leader()
         known = self._fleet.endpoints.get(endpoint)
         if known is None or leader is None:
             return
         if endpoint in leader.books:
-            leader.note_refused(endpoint, key)
+            leader.record_refused(endpoint, key)
         elif known.data_centre in self._refused:
             self._refused[known.data_centre].add((endpoint, key))
 
     # What another leader is told.
 
     def fill_report(
-        self, report: Any, data_centre: str, handed: list[WeightsDemand]
+        self, report: Any, data_centre: str, handed_over: list[WeightsDemand]
     ) -> None:
         """Put what concerns a data centre's leader into a report, once.
 
-        ``handed`` is the demand that it is to meet for this group.
+        ``handed_over`` is the demand that it is to meet for this group.
         """
         refused, self._refused[data_centre] = self._refused[data_centre], set()
         report.refused = [encode_use(e, key, 1) for e, key in refused]
         report.outcomes = encode_outcomes(self._outcomes[data_centre].take())
         spendings = self._spendings[data_centre].take(self._clock())
         report.spendings = [encode_spending(each) for each in spendings]
-        demand = [*handed, *self._take_afar(data_centre)]
+        demand = [*handed_over, *self._pop_served_remotely(data_centre)]
         report.demand = [encode_demand(each) for each in demand]
 
-    def _take_afar(self, data_centre: str) -> list[WeightsDemand]:
+    def _pop_served_remotely(self, data_centre: str) -> list[WeightsDemand]:
         """Return the requests that a data centre's engines served for this group."""
-        served = self._served_afar[data_centre]
-        self._served_afar[data_centre] = defaultdict(int)
+        served = self._served_remotely[data_centre]
+        self._served_remotely[data_centre] = defaultdict(int)
         return [
             WeightsDemand(service, key, arrivals=count, waiting=0, missed=0)
             for (service, key), count in served.items()
--- a/src/kestreltally/knowledge/idl.py
+++ b/src/kestreltally/knowledge/idl.py
@@ -66,15 +66,15 @@
 def _render_field(field: tuple[Any, ...]) -> str:
     """Return a field's type, name, what it holds, and that it may miss."""
     kind, name, *rest = field
-    held = f", {_render_held(rest[0])}" if len(rest) > 1 else ""
-    return f"({_name_type(kind)}, {name!r}{held}, {rest[-1]!r})"
+    elements = f", {_render_elements(rest[0])}" if len(rest) > 1 else ""
+    return f"({_name_type(kind)}, {name!r}{elements}, {rest[-1]!r})"
 
 
-def _render_held(held: Any) -> str:
+def _render_elements(elements: Any) -> str:
     """Return what a list, a map or a field of a struct holds."""
-    if isinstance(held, tuple):
-        return "(" + ", ".join(_render_held(each) for each in held) + ")"
-    return held.__name__ if isinstance(held, type) else _name_type(held)
+    if isinstance(elements, tuple):
+        return "(" + ", ".join(_render_elements(each) for each in elements) + ")"
+    return elements.__name__ if isinstance(elements, type) else _name_type(elements)
 
 
 def _name_type(kind: int) -> str:
--- a/src/kestreltally/knowledge/notices.py
+++ b/src/kestreltally/knowledge/notices.py
@@ -5,8 +5,8 @@
 
 from kestreltally.fleet.model import Seconds
 from kestreltally.fleet.notices import NoticeTable
+from kestreltally.knowledge.feed_parts import FeedPart
 from kestreltally.knowledge.leaders import Leaders
-from kestreltally.knowledge.parts import FeedPart
 from kestreltally.knowledge.peer import Peer
 from kestreltally.knowledge.rows import decode_notice, encode_notice
 
@@ -29,8 +29,8 @@
         known = self._notices.list_known(self._clock())
         report.notices = [encode_notice(each) for each in known]
 
-    def take_report(self, peer: Peer, report: Any) -> None:
+    def apply_report(self, peer: Peer, report: Any) -> None:
         """Take in, as a leader, what a daemon heard."""
         if self._leaders.leads:
-            told = [decode_notice(each) for each in report.notices or ()]
-            self._notices.take_told(told, self._clock())
+            received = [decode_notice(each) for each in report.notices or ()]
+            self._notices.take_told(received, self._clock())
--- a/src/kestreltally/knowledge/peer.py
+++ b/src/kestreltally/knowledge/peer.py
@@ -2,10 +2,10 @@
 
 from dataclasses import dataclass, field
 
-from kestreltally.entry.fullness import EMPTY, Fullness
+from kestreltally.entry.occupancy import EMPTY, Fullness
 from kestreltally.fleet.model import EndpointId, Seconds, WeightsKey
 from kestreltally.knowledge.frames import FrameStream
-from kestreltally.knowledge.updates import NOTHING_TOLD, Snapshot
+from kestreltally.knowledge.updates import EMPTY_SNAPSHOT, Snapshot
 from kestreltally.placing.turns import Borrower
 
 
@@ -21,21 +21,21 @@
     vm: str = ""
     leads: frozenset[str] = frozenset()
     follows: bool = False
-    told: Snapshot = NOTHING_TOLD
-    whole: bool = True
+    sent_snapshot: Snapshot = EMPTY_SNAPSHOT
+    needs_full_update: bool = True
     unsent_since: Seconds | None = None
     configuration: int = 0
     daemons: int = 1
-    fullness: Fullness = EMPTY
+    occupancy: Fullness = EMPTY
     uses: dict[tuple[EndpointId, WeightsKey], int] = field(default_factory=dict)
     store_answered_at: Seconds = float("-inf")
     store_read_at: Seconds = float("-inf")
     # The last report's own time, and when it arrived here.
     stamp: Seconds | None = None
-    stamped_at: Seconds = 0.0
-    told_configuration: int = 0
-    told_configuration_at: Seconds = float("-inf")
+    stamp_received_at: Seconds = 0.0
+    sent_configuration: int = 0
+    configuration_sent_at: Seconds = float("-inf")
     # Up to where it was told what is known of requests at ends.
-    told_facts: int = 0
+    sent_facts_position: int = 0
     # The turns that it wants, and those lent to it.
-    borrower: Borrower = field(default_factory=Borrower)
+    credit_holder: Borrower = field(default_factory=Borrower)
--- a/src/kestreltally/knowledge/rows.py
+++ b/src/kestreltally/knowledge/rows.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from kestreltally.entry.demand import WeightsDemand
-from kestreltally.entry.fullness import Fullness
+from kestreltally.entry.occupancy import Fullness
 from kestreltally.entry.outcomes import Outcome
 from kestreltally.fleet.model import (
     Endpoint,
@@ -143,16 +143,16 @@
     )
 
 
-def encode_fullness(message: Any, fullness: Fullness) -> None:
+def encode_occupancy(message: Any, occupancy: Fullness) -> None:
     """Put how full endpoints are into a report or an update."""
-    message.in_flight = dict(fullness.under_way)
-    message.unread = dict(fullness.unread)
+    message.in_flight = dict(occupancy.in_flight)
+    message.unread = dict(occupancy.unread)
 
 
-def decode_fullness(message: Any) -> Fullness:
+def decode_occupancy(message: Any) -> Fullness:
     """Return how full endpoints are by a report or an update."""
     return Fullness(
-        under_way={EndpointId(k): v for k, v in (message.in_flight or {}).items()},
+        in_flight={EndpointId(k): v for k, v in (message.in_flight or {}).items()},
         unread={EndpointId(k): v for k, v in (message.unread or {}).items()},
     )
 
@@ -218,27 +218,29 @@
     return Spending(OrganisationName(row.organisation), row.asked, row.granted)
 
 
-def encode_word(word: Word) -> Any:
+def encode_throttle(throttle: Word) -> Any:
     """Return the struct of the word on an organisation at its limit."""
     return WordRow(
-        organisation=word.organisation,
-        ratio=word.ratio,
-        asked=word.asked,
-        wait=word.wait,
+        organisation=throttle.organisation,
+        ratio=throttle.ratio,
+        asked=throttle.asked,
+        wait=throttle.wait,
     )
 
 
-def decode_word(row: Any) -> Word:
+def decode_throttle(row: Any) -> Word:
     """Return the word on an organisation at its limit."""
     return Word(OrganisationName(row.organisation), row.ratio, row.asked, row.wait)
 
 
-def encode_wanted(endpoint: EndpointId, wanted: dict[int, int], received: int) -> Any:
+def encode_requested(
+    endpoint: EndpointId, requested: dict[int, int], received: int
+) -> Any:
     """Return the struct of turns wanted at an endpoint, by urgency."""
-    return WantedRow(endpoint=endpoint, counts=wanted, received=received)
+    return WantedRow(endpoint=endpoint, counts=requested, received=received)
 
 
-def encode_turns(endpoint: EndpointId, lasts: list[Seconds]) -> Any:
+def encode_credits(endpoint: EndpointId, lasts: list[Seconds]) -> Any:
     """Return the struct of turns lent at an endpoint, by how long each lasts."""
     return TurnsRow(endpoint=endpoint, lasts=lasts)
 
--- a/src/kestreltally/knowledge/updates.py
+++ b/src/kestreltally/knowledge/updates.py
@@ -48,7 +48,7 @@
 class LeaderState:
     """What each update tells besides rows.
 
-    ``load_wait`` is how long a load takes from now, ``room`` how many more adapters
+    ``load_wait`` is how long a load takes from now, ``free_capacity`` how many more adapters
     the engines led could take. All that the store had acknowledged at ``known_at`` is
     known here; where keys are not checked, none.
     """
@@ -61,7 +61,7 @@
     load_wait: Seconds
     configuration_version: int
     configuration: bytes
-    room: int = 0
+    free_capacity: int = 0
     known_at: Seconds | None = None
     secret: bytes = b""
 
@@ -74,7 +74,7 @@
     versions: Versions
 
 
-NOTHING_TOLD: Final = Snapshot({}, {})
+EMPTY_SNAPSHOT: Final = Snapshot({}, {})
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -84,20 +84,20 @@
     before: Snapshot
     rows: list[Any]
     changes: list[Any]
-    gone: list[str]
+    removed: list[str]
     versions: list[Any]
 
 
-class SnapshotKeeper:
+class SnapshotCache:
     """Keeps the same snapshot as long as nothing changes."""
 
     def __init__(self) -> None:
-        self._current = NOTHING_TOLD
+        self._current = EMPTY_SNAPSHOT
 
-    def take(self, rows: Rows, versions: Versions) -> Snapshot:
+    def get_snapshot(self, rows: Rows, versions: Versions) -> Snapshot:
         """Return a snapshot of these rows and versions."""
-        now = self._current
-        if now.rows != rows or now.versions != versions:
+        current = self._current
+        if current.rows != rows or current.versions != versions:
             self._current = Snapshot(rows, versions)
         return self._current
 
@@ -120,7 +120,7 @@
         self._differences: dict[tuple[int, bool], Difference] = {}
 
     def make_update(
-        self, told: Snapshot, *, leads: bool, whole: bool
+        self, sent: Snapshot, *, leads: bool, whole: bool
     ) -> tuple[Any, Snapshot]:
         """Return an update for a daemon, and what it is told with it.
 
@@ -134,35 +134,35 @@
             store_age=min(state.store_age, AGE_UNKNOWN),
             whole=False,
             load_wait=state.load_wait,
-            room=state.room,
+            room=state.free_capacity,
             configuration_version=state.configuration_version,
         )
         if not state.leads:
-            return update, told
+            return update, sent
         update.secret = state.secret
         now = self._for_leaders if leads else self._for_followers
-        difference = self._find_difference(told, now, leads=leads)
+        difference = self._get_difference(sent, now, leads=leads)
         update.whole = whole
         update.rows = difference.rows
         update.changes = difference.changes
-        update.gone = difference.gone
+        update.gone = difference.removed
         update.versions = difference.versions
         return update, now
 
-    def _find_difference(
-        self, told: Snapshot, now: Snapshot, *, leads: bool
+    def _get_difference(
+        self, sent: Snapshot, now: Snapshot, *, leads: bool
     ) -> Difference:
-        name = (id(told), leads)
+        name = (id(sent), leads)
         found = self._differences.get(name)
         if found is None:
-            found = self._differences[name] = self._compare(told, now)
+            found = self._differences[name] = self._compare(sent, now)
         return found
 
-    def _compare(self, told: Snapshot, now: Snapshot) -> Difference:
+    def _compare(self, sent: Snapshot, now: Snapshot) -> Difference:
         rows = []
         changes = []
         for endpoint in now.rows.values():
-            before = told.rows.get(endpoint.id)
+            before = sent.rows.get(endpoint.id)
             if before is endpoint or before == endpoint:
                 continue
             if before is not None and differs_in_weights_only(before, endpoint):
@@ -170,15 +170,15 @@
             else:
                 rows.append(encode_endpoint(endpoint))
         return Difference(
-            before=told,
+            before=sent,
             rows=rows,
             changes=changes,
             # What is known but led elsewhere is not gone.
-            gone=[each for each in told.rows if each not in self._known],
+            removed=[each for each in sent.rows if each not in self._known],
             versions=[
                 encode_weights(key, number)
                 for key, number in now.versions.items()
-                if told.versions.get(key) != number
+                if sent.versions.get(key) != number
             ],
         )
 
@@ -195,21 +195,21 @@
         self._state = state
         self._rows = rows
         self._versions = versions
-        self._for_followers = SnapshotKeeper()
-        self._for_leaders = SnapshotKeeper()
+        self._for_followers = SnapshotCache()
+        self._for_leaders = SnapshotCache()
 
-    def begin_round(self) -> UpdateRound:
+    def start_round(self) -> UpdateRound:
         """Return the round of updates of this moment."""
         state = self._state()
         known = dict(self._rows())
         versions = self._versions()
         led = {each.data_centre for each in state.leads}
-        own = {k: each for k, each in known.items() if each.data_centre in led}
+        local = {k: each for k, each in known.items() if each.data_centre in led}
         return UpdateRound(
             state,
             known,
-            self._for_followers.take(known, versions),
-            self._for_leaders.take(own, versions),
+            self._for_followers.get_snapshot(known, versions),
+            self._for_leaders.get_snapshot(local, versions),
         )
 
 
--- a/src/kestreltally/knowledge/followers.py
+++ b/src/kestreltally/knowledge/watch_handlers.py
@@ -32,10 +32,10 @@
 
 # Entries that lapsed while the store was away, or that its copy lacks, are written
 # again soon, if their endpoint lives; one that is still missing then is gone.
-LAPSE_PATIENCE: Final[Seconds] = REWRITTEN_WITHIN
+EXPIRY_GRACE_PERIOD: Final[Seconds] = REWRITTEN_WITHIN
 
 
-class ConfigurationFollower:
+class ConfigurationHandler:
     """Puts each newer configuration in force, and keeps it for peers.
 
     ``lacks_writes`` tells that the store may show a copy. A daemon that knows nothing
@@ -45,50 +45,50 @@
 
     def __init__(
         self,
-        take: Callable[[Configuration], bool],
+        apply: Callable[[Configuration], bool],
         lacks_writes: Callable[[], bool],
     ) -> None:
-        self._take = take
+        self._apply = apply
         self._lacks_writes = lacks_writes
-        self._held: StoredObject | None = None
+        self._pending: StoredObject | None = None
         self._read_revision: Revision | None = None
         self._version = 0
         self.encoded = b""
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take the configuration of a listing in."""
         for stored in listing.objects:
             if stored.name == CONFIGURATION_NAME:
-                self._held = stored
-        self.take_held()
+                self._pending = stored
+        self.apply_pending()
 
-    def _is_doubtful(self) -> bool:
+    def _may_be_outdated(self) -> bool:
         """Tell whether what the store shows may be older than what others know."""
         return not self._version and self._lacks_writes()
 
-    def take_held(self) -> None:
+    def apply_pending(self) -> None:
         """Put in force what was listed, once nothing newer is to be expected."""
-        if self._held is not None and not self._is_doubtful():
-            held, self._held = self._held, None
-            self.take_document(held.content)
+        if self._pending is not None and not self._may_be_outdated():
+            pending, self._pending = self._pending, None
+            self.apply_document(pending.content)
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take a changed configuration in; a deletion changes nothing."""
         for change in changes.changes:
             if not change.gone and change.object.name == CONFIGURATION_NAME:
-                self.take_document(change.object.content)
+                self.apply_document(change.object.content)
 
-    def take_read(self, stored: StoredObject) -> bool:
-        """Take a configuration in that was read; tell as ``take_document`` does."""
-        if self._is_doubtful():
+    def apply_read(self, stored: StoredObject) -> bool:
+        """Take a configuration in that was read; tell as ``apply_document`` does."""
+        if self._may_be_outdated():
             return False
         if stored.revision != self._read_revision:
-            if not self.take_document(stored.content):
+            if not self.apply_document(stored.content):
                 return False
             self._read_revision = stored.revision
         return True
 
-    def take_document(self, document: Any) -> bool:
+    def apply_document(self, document: Any) -> bool:
         """Take a configuration in, from wherever it came.
 
         Return whether it is in force. An older one is not: where the store has come
@@ -99,7 +99,7 @@
         except MalformedDocument as error:
             log_decision(LOG, Decision.CONFIGURATION_REJECTED, reason=str(error))
             return False
-        if self._take(configuration):
+        if self._apply(configuration):
             self._version = configuration.version
             self.encoded = json.dumps(document).encode()
             log_decision(
@@ -108,10 +108,10 @@
         return configuration.version >= self._version
 
 
-class EndpointsFollower:
+class EndpointsHandler:
     """Keeps the list of endpoints, with patience for entries that lapsed.
 
-    ``returned_at`` tells when the store last answered again after a failure.
+    ``recovered_at`` tells when the store last answered again after a failure.
     """
 
     def __init__(
@@ -119,93 +119,93 @@
         put: Callable[[Endpoint], None],
         drop: Callable[[EndpointId], None],
         clock: Callable[[], Seconds],
-        returned_at: Callable[[], Seconds],
+        recovered_at: Callable[[], Seconds],
     ) -> None:
         self._put = put
         self._drop = drop
         self._clock = clock
-        self._returned_at = returned_at
+        self._recovered_at = recovered_at
         self.listed: dict[EndpointId, Endpoint] = {}
-        self._lapsed: dict[EndpointId, Seconds] = {}
+        self._expired: dict[EndpointId, Seconds] = {}
 
-    def adopt(self, endpoints: Iterable[Endpoint]) -> None:
+    def seed(self, endpoints: Iterable[Endpoint]) -> None:
         """Start from what was known otherwise, so that lapses are noticed."""
         self.listed = {each.id: each for each in endpoints}
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take all entries in; what is missing is gone, or has lapsed."""
         present = {EndpointId(stored.name) for stored in listing.objects}
         for stored in listing.objects:
-            self._take_entry(stored)
+            self._apply_entry(stored)
         for endpoint in [each for each in self.listed if each not in present]:
-            self._miss(endpoint)
+            self._record_missing(endpoint)
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take some changed entries in."""
         for change in changes.changes:
             if change.gone:
-                self._miss(EndpointId(change.object.name))
+                self._record_missing(EndpointId(change.object.name))
             else:
-                self._take_entry(change.object)
+                self._apply_entry(change.object)
 
-    def _take_entry(self, stored: StoredObject) -> None:
+    def _apply_entry(self, stored: StoredObject) -> None:
         try:
             endpoint = decode_endpoint(stored.name, stored.content)
         except MalformedDocument as error:
             log_decision(LOG, Decision.ENTRY_REJECTED, reason=str(error))
             return
-        self._lapsed.pop(endpoint.id, None)
-        before = self.listed.get(endpoint.id)
-        if endpoint.leaving and not (before is not None and before.leaving):
+        self._expired.pop(endpoint.id, None)
+        known = self.listed.get(endpoint.id)
+        if endpoint.leaving and not (known is not None and known.leaving):
             log_decision(LOG, Decision.ENDPOINT_LEAVING, endpoint=endpoint.id)
         self.listed[endpoint.id] = endpoint
         self._put(endpoint)
 
-    def _miss(self, endpoint: EndpointId) -> None:
+    def _record_missing(self, endpoint: EndpointId) -> None:
         now = self._clock()
         if endpoint not in self.listed:
             return
-        believed_from = self._returned_at() + LAPSE_PATIENCE
-        if not self.listed[endpoint].leaving and now < believed_from:
-            self._lapsed.setdefault(endpoint, believed_from)
+        trusted_from = self._recovered_at() + EXPIRY_GRACE_PERIOD
+        if not self.listed[endpoint].leaving and now < trusted_from:
+            self._expired.setdefault(endpoint, trusted_from)
             return
-        self._forget(endpoint)
+        self._remove(endpoint)
 
-    def _forget(self, endpoint: EndpointId) -> None:
-        self._lapsed.pop(endpoint, None)
+    def _remove(self, endpoint: EndpointId) -> None:
+        self._expired.pop(endpoint, None)
         self.listed.pop(endpoint, None)
         self._drop(endpoint)
         log_decision(LOG, Decision.ENDPOINT_GONE, endpoint=endpoint)
 
-    def drop_lapsed(self) -> None:
+    def drop_expired(self) -> None:
         """Forget entries that were not written again in time."""
         now = self._clock()
-        for endpoint, until in list(self._lapsed.items()):
+        for endpoint, until in list(self._expired.items()):
             if now >= until:
-                self._forget(endpoint)
+                self._remove(endpoint)
 
 
-class VersionsFollower:
+class VersionsHandler:
     """Keeps the newest version of each model and adapter."""
 
-    def __init__(self, take: Callable[[WeightsKey, int], None]) -> None:
-        self._take = take
+    def __init__(self, apply: Callable[[WeightsKey, int], None]) -> None:
+        self._apply = apply
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take all versions in."""
         for stored in listing.objects:
-            self._take_object(stored)
+            self._apply_object(stored)
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take some versions in; a deletion changes nothing."""
         for change in changes.changes:
             if not change.gone:
-                self._take_object(change.object)
+                self._apply_object(change.object)
 
-    def _take_object(self, stored: StoredObject) -> None:
+    def _apply_object(self, stored: StoredObject) -> None:
         try:
             key, number = decode_version(stored.content)
         except MalformedDocument as error:
             log_decision(LOG, Decision.VERSION_REJECTED, reason=str(error))
             return
-        self._take(key, number)
+        self._apply(key, number)
--- a/src/kestreltally/knowledge/watching.py
+++ b/src/kestreltally/knowledge/watching.py
@@ -7,7 +7,7 @@
 
 from kestreltally.decisions import Decision, log_decision
 from kestreltally.fleet.model import Seconds
-from kestreltally.knowledge.pauses import draw_pause
+from kestreltally.knowledge.retry_delays import draw_retry_delay
 from kestreltally.platform.store import (
     Changes,
     EraPassed,
@@ -21,16 +21,16 @@
 LOG = logging.getLogger("kestreltally.knowledge")
 
 # However many daemons ask alike, each asks again within this time.
-RETRY_SELDOM: Final[Seconds] = 3.0
+MAX_RETRY_INTERVAL: Final[Seconds] = 3.0
 
 
-class Follower(Protocol):
+class WatchHandler(Protocol):
     """Takes in what the store holds of a kind."""
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         """Take in all objects; what is missing is gone."""
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         """Take in some changes."""
 
 
@@ -47,7 +47,7 @@
         self,
         store: Store,
         kind: str,
-        follower: Follower,
+        handler: WatchHandler,
         gap: Seconds,
         wait: Seconds,
         count_watchers: Callable[[], int],
@@ -55,33 +55,33 @@
     ) -> None:
         self._store = store
         self._kind = kind
-        self._follower = follower
+        self._handler = handler
         self._gap = gap
         self._wait = wait
         self._count_watchers = count_watchers
         self._clock = clock
-        self._on = asyncio.Event()
+        self._enabled = asyncio.Event()
         self.answered_at: Seconds = float("-inf")
         self.failed_at: Seconds = float("-inf")
         self._regained_at: Seconds = float("-inf")
         self._revision: Revision | None = None
-        self._in_touch = True
+        self._connected = True
 
     @property
-    def on(self) -> bool:
+    def enabled(self) -> bool:
         """Tell whether it is switched on."""
-        return self._on.is_set()
+        return self._enabled.is_set()
 
-    def switch(self, on: bool) -> None:
+    def set_enabled(self, enabled: bool) -> None:
         """Start or stop following; a stopped one lists anew when it starts."""
-        if on and not self._on.is_set():
+        if enabled and not self._enabled.is_set():
             self._revision = None
-            self._on.set()
-        elif not on:
-            self._on.clear()
+            self._enabled.set()
+        elif not enabled:
+            self._enabled.clear()
 
     @property
-    def returned_at(self) -> Seconds:
+    def recovered_at(self) -> Seconds:
         """Return when the store last answered again, or had come back from a copy.
 
         What is missing then may be written again soon.
@@ -93,7 +93,7 @@
         """Tell whether the store did not answer the last call."""
         return self.failed_at > self.answered_at
 
-    def find_age(self) -> Seconds:
+    def compute_age(self) -> Seconds:
         """Return how old this knowledge may be: a watch that waits is fresh."""
         if self.failing:
             return self._clock() - self.answered_at
@@ -102,7 +102,7 @@
     async def run(self) -> None:
         """Follow for ever."""
         while True:
-            await self._on.wait()
+            await self._enabled.wait()
             try:
                 await self._step()
             except EraPassed:
@@ -112,33 +112,35 @@
                 log_decision(LOG, Decision.HISTORY_GONE, kind=self._kind)
                 self._revision = None
             except StoreError as error:
-                self._note_failure(error)
-                await asyncio.sleep(draw_pause(self._count_watchers(), RETRY_SELDOM))
+                self._record_failure(error)
+                await asyncio.sleep(
+                    draw_retry_delay(self._count_watchers(), MAX_RETRY_INTERVAL)
+                )
 
     async def _step(self) -> None:
         if self._revision is None:
             listing = await self._store.list_objects(self._kind)
-            self._note_answer()
-            self._follower.take_listing(listing)
+            self._record_answer()
+            self._handler.apply_listing(listing)
             self._revision = listing.revision
             return
         changes = await self._store.watch(self._kind, self._revision, self._wait)
-        self._note_answer()
-        if not self._on.is_set():
+        self._record_answer()
+        if not self._enabled.is_set():
             return
         self._revision = changes.revision
-        self._follower.take_changes(changes)
+        self._handler.apply_changes(changes)
         await asyncio.sleep(self._gap)
 
-    def _note_answer(self) -> None:
+    def _record_answer(self) -> None:
         self.answered_at = self._clock()
-        if not self._in_touch:
-            self._in_touch = True
+        if not self._connected:
+            self._connected = True
             self._regained_at = self.answered_at
             log_decision(LOG, Decision.STORE_REGAINED, kind=self._kind)
 
-    def _note_failure(self, error: StoreError) -> None:
+    def _record_failure(self, error: StoreError) -> None:
         self.failed_at = self._clock()
-        if self._in_touch:
-            self._in_touch = False
+        if self._connected:
+            self._connected = False
             log_decision(LOG, Decision.STORE_LOST, kind=self._kind, reason=str(error))
--- a/src/kestreltally/objectapi/watches.py
+++ b/src/kestreltally/objectapi/watches.py
@@ -39,7 +39,7 @@
 
 LOG = logging.getLogger("kestreltally.objectapi")
 RETRY_FIRST: Final[Seconds] = 0.2
-RETRY_MOST: Final[Seconds] = 5.0
+MAX_RETRY_DELAY: Final[Seconds] = 5.0
 READ_BACK_TRIES: Final = 5
 WATCH_DUTY_CHECK: Final[Seconds] = 0.5
 WATCH_CONFIRM_WAIT: Final[Seconds] = 1.0
@@ -129,7 +129,7 @@
         """Wait after a failed call, with jitter; return how long to wait next."""
         LOG.warning("platform: %s cannot be watched: %s", what, error)
         await asyncio.sleep(self._jitter(wait))
-        return min(wait * 2, RETRY_MOST)
+        return min(wait * 2, MAX_RETRY_DELAY)
 
     async def watch_config(self) -> None:
         """Keep the configuration up to date while that is this daemon's duty."""
--- a/src/kestreltally/placing/books.py
+++ b/src/kestreltally/placing/books.py
@@ -58,7 +58,7 @@
     read_at: Seconds = 0.0
     ordered_at: Seconds = 0.0
 
-    def take_report(self, report: EngineReport, now: Seconds) -> None:
+    def apply_report(self, report: EngineReport, now: Seconds) -> None:
         """Take a report in; one older than the last order only confirms loads.
 
         One of an earlier life of the engine, which had other counts, says nothing.
--- a/src/kestreltally/placing/handover.py
+++ b/src/kestreltally/placing/handover.py
@@ -31,8 +31,8 @@
 class Handover:
     """The weights asked for here that leaders of other data centres are to bring.
 
-    ``find_rooms`` tells how many adapters each leader that is heard could take now,
-    ``can_hand`` whether one brings adapters quickly; ``hurry`` has one told at once.
+    ``get_free_capacity`` tells how many adapters each leader that is heard could take now,
+    ``can_hand_over`` whether one brings adapters quickly; ``expedite`` has one told at once.
     """
 
     def __init__(self, fleet: Fleet, demand: DemandTable) -> None:
@@ -40,9 +40,9 @@
         self._demand = demand
         self._homes: dict[Asked, str] = {}
         self._passed: dict[Asked, Passed] = {}
-        self.can_hand: Callable[[str], bool] = lambda _: False
-        self.find_rooms: Callable[[], Mapping[str, int]] = dict
-        self.hurry: Callable[[str], None] = lambda _: None
+        self.can_hand_over: Callable[[str], bool] = lambda _: False
+        self.get_free_capacity: Callable[[], Mapping[str, int]] = dict
+        self.expedite: Callable[[str], None] = lambda _: None
 
     def is_handed(self, asked: Asked) -> bool:
         """Tell whether another leader is asked for some weights."""
@@ -67,7 +67,7 @@
                 continue
             self._homes[asked] = where
             if before.get(asked) != where:
-                self.hurry(where)
+                self.expedite(where)
         for asked, passed in list(self._passed.items()):
             if passed.until <= now or self._fleet.is_held(*asked, now):
                 del self._passed[asked]
@@ -80,17 +80,17 @@
         places = {each.data_centre for each in self._fleet.list_copies(*asked)}
         if places & led:
             return None
-        able = [name for name in places if self.can_hand(name)]
+        able = [name for name in places if self.can_hand_over(name)]
         if before in able:
             return before
         if len(able) < 2:
             return able[0] if able else None
-        rooms = self.find_rooms()
+        rooms = self.get_free_capacity()
         return max(able, key=lambda name: (rooms.get(name, 0), name))
 
     def pass_on(self, crowded_out: Iterable[Asked], led: set[str], now: Seconds) -> int:
         """Ask leaders with room for what has no place here; return for how many."""
-        rooms = dict(self.find_rooms())
+        rooms = dict(self.get_free_capacity())
         for passed in self._passed.values():
             if passed.to in rooms:
                 rooms[passed.to] -= 1
@@ -103,7 +103,7 @@
                 continue
             rooms[roomiest] -= 1
             self._passed[asked] = Passed(roomiest, now + PASS_FOR)
-            self.hurry(roomiest)
+            self.expedite(roomiest)
             count += 1
         return count
 
--- a/src/kestreltally/placing/leader.py
+++ b/src/kestreltally/placing/leader.py
@@ -8,7 +8,7 @@
 from kestreltally.decisions import Decision, log_decision
 from kestreltally.deployment import Bounds
 from kestreltally.entry.demand import WeightsDemand
-from kestreltally.entry.fullness import EMPTY
+from kestreltally.entry.occupancy import EMPTY
 from kestreltally.estimates.pace import PaceTable
 from kestreltally.events import wait_at_most
 from kestreltally.fleet.model import (
@@ -49,7 +49,7 @@
 # for what the engine has a copy of and brings in some 25 ms.
 INCOMING_MOST: Final = 4
 INCOMING_COLD: Final = 3
-REPORT_EVERY: Final[Seconds] = 0.1
+REPORT_INTERVAL: Final[Seconds] = 0.1
 # A listing of an engine's weights that differs from its book is checked when the last
 # order is older than this: two heartbeats.
 LISTING_AGE: Final[Seconds] = 3.0
@@ -66,7 +66,7 @@
         self,
         fleet: Fleet,
         leases: Mapping[str, Lease],
-        find_lease: Callable[[Endpoint], Lease],
+        get_lease: Callable[[Endpoint], Lease],
         caller: EngineCaller,
         bounds: Bounds,
         clock: Callable[[], Seconds],
@@ -74,7 +74,7 @@
     ) -> None:
         self._fleet = fleet
         self._leases = leases
-        self._find_lease = find_lease
+        self._get_lease = get_lease
         self._loader = Loader(
             fleet,
             caller,
@@ -88,7 +88,7 @@
         self._plan = PLANNERS["most-missed-first"]
         self.books: dict[EndpointId, EngineBook] = {}
         self.demand = DemandTable()
-        self.fullness = EMPTY
+        self.occupancy = EMPTY
         # What other leaders tell that a load takes there; none when none is heard.
         self.other_wait: Callable[[], Seconds | None] = lambda: None
         self._ceilings: dict[ServiceName, LoadCeiling] = {}
@@ -102,7 +102,7 @@
         # Which adapters on which engines any daemon uses now.
         self.list_uses: Callable[[], set[tuple[EndpointId, WeightsKey]]] = set
         self.soundness = SoundnessTable()
-        self.paces = PaceTable()
+        self.prefill_times = PaceTable()
 
     @property
     def load_time(self) -> Seconds:
@@ -137,7 +137,7 @@
         if settled and book.endpoint.weights.keys() != book.weights.keys():
             book.doubt(now)
 
-    def note_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
+    def record_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
         """Take in that an engine refused a request for want of its weights."""
         book = self.books.get(endpoint)
         if book is not None and key in book.weights and key not in book.incoming:
@@ -159,7 +159,7 @@
         self.books.pop(endpoint, None)
         self.soundness.forget(endpoint)
 
-    def take_demand(
+    def apply_demand(
         self, vm: str, data_centre: str, told: Iterable[WeightsDemand]
     ) -> None:
         """Take in what a daemon tells of its requests."""
@@ -218,12 +218,12 @@
         """Take up the engines of leases newly held, and let go of those lost."""
         led = {name for name, lease in self._leases.items() if lease.leads}
         for endpoint in self._fleet.endpoints.values():
-            lease = self._find_lease(endpoint)
+            lease = self._get_lease(endpoint)
             if lease.data_centre in led - self._led:
                 self.books.pop(endpoint.id, None)
                 self.put_endpoint(endpoint)
         for name, book in list(self.books.items()):
-            if not self._find_lease(book.endpoint).leads:
+            if not self._get_lease(book.endpoint).leads:
                 del self.books[name]
         self._led = led
 
@@ -291,7 +291,7 @@
         for book in books:
             if not book.busy and self._needs_report(book, now):
                 self._loader.start(book, self._loader.read(book))
-        books = [b for b in books if self._find_lease(b.endpoint).may_order()]
+        books = [b for b in books if self._get_lease(b.endpoint).may_order()]
         open_books = [b for b in books if self._is_open(b, now) and b.has_any_model]
         ceiling = self._ceilings.setdefault(service, LoadCeiling(self._bounds, now))
         part = find_part([lease.may_order() for lease in self._leases.values()])
@@ -310,7 +310,7 @@
         since = now - book.read_at
         if book.sequence is None:
             return since >= REPORT_LAG
-        return bool(book.leaving) and since >= REPORT_EVERY
+        return bool(book.leaving) and since >= REPORT_INTERVAL
 
     def _is_open(self, book: EngineBook, now: Seconds) -> bool:
         """Tell whether an engine takes adapters, if not at this very moment."""
@@ -401,12 +401,12 @@
             now=now,
             fleet=self._fleet,
             demand=self.demand,
-            fullness=self.fullness,
-            paces=self.paces,
+            occupancy=self.occupancy,
+            prefill_times=self.prefill_times,
             uses=self.list_uses(),
             load_time=self._loader.load_time,
         )
-        wanted = known.list_wanted(
+        wanted = known.list_requested(
             lambda key: key in self._loader.placing
             or self.handover.is_handed((service, key))
         )
--- a/src/kestreltally/placing/leaseboard.py
+++ b/src/kestreltally/placing/leaseboard.py
@@ -17,7 +17,7 @@
 # How often a daemon without a leader looks, and how many of such looks a second are
 # enough for all daemons of a data centre together: the first one to see a free lease
 # takes it, and its address spreads by the feed.
-READ_EVERY: Final[Seconds] = 0.3
+READ_INTERVAL: Final[Seconds] = 0.3
 READ_SELDOM: Final[Seconds] = 2.0
 READS_PER_SECOND: Final = 20.0
 
@@ -29,12 +29,12 @@
         self,
         store: Store,
         leases: Mapping[str, Lease],
-        wants_look: Callable[[Lease], bool],
+        should_poll: Callable[[Lease], bool],
         count_daemons: Callable[[], int] = lambda: 1,
     ) -> None:
         self._store = store
         self._leases = leases
-        self._wants_look = wants_look
+        self._wants_look = should_poll
         self._count_daemons = count_daemons
 
     async def run(self) -> None:
@@ -50,7 +50,7 @@
     def _find_pause(self) -> Seconds:
         """Return how long to wait until the next look, so that all share the rate."""
         group = self._count_daemons() / len(self._leases)
-        usual = min(READ_SELDOM, max(READ_EVERY, group / READS_PER_SECOND))
+        usual = min(READ_SELDOM, max(READ_INTERVAL, group / READS_PER_SECOND))
         return usual * random.uniform(0.7, 1.3)
 
     async def _look(self) -> None:
--- a/src/kestreltally/placing/loads.py
+++ b/src/kestreltally/placing/loads.py
@@ -129,9 +129,9 @@
         """Take an engine's report in."""
         report = await self._caller.read_report(book.endpoint)
         now = self._clock()
-        book.take_report(report, now)
+        book.apply_report(report, now)
         for key in report.warm:
-            self._fleet.copies.note_told(book.endpoint.id, key)
+            self._fleet.copies.record_reported(book.endpoint.id, key)
 
     async def load(self, book: EngineBook, key: WeightsKey) -> None:
         """Order a load; another task waits for its end."""
--- a/src/kestreltally/placing/orders.py
+++ b/src/kestreltally/placing/orders.py
@@ -82,12 +82,12 @@
         self,
         pool: ChannelPool,
         holder: str,
-        find_lease: Callable[[Endpoint], Lease],
+        get_lease: Callable[[Endpoint], Lease],
         clock: Callable[[], Seconds],
     ) -> None:
         self._pool = pool
         self._holder = holder
-        self._find_lease = find_lease
+        self._get_lease = get_lease
         self._clock = clock
         self._calls = 0
 
@@ -117,7 +117,7 @@
     ) -> OrderOutcome:
         if book.sequence is None:
             raise EngineSilent("no report yet")
-        lease = self._find_lease(book.endpoint)
+        lease = self._get_lease(book.endpoint)
         grant = Grant(lease, lease.fence)
         order = Order(kind, key, self._holder, grant.fence, book.sequence)
         status = await self._send_order(book.endpoint, order, grant)
--- a/src/kestreltally/placing/soundness.py
+++ b/src/kestreltally/placing/soundness.py
@@ -51,7 +51,7 @@
     def __init__(self) -> None:
         self._rows: dict[EndpointId, Standing] = {}
 
-    def note(self, outcome: Outcome, now: Seconds) -> None:
+    def record(self, outcome: Outcome, now: Seconds) -> None:
         """Take in how requests ended at an endpoint."""
         row = self._rows.setdefault(outcome.endpoint, Standing(now))
         row.decay(now)
--- a/src/kestreltally/placing/turns.py
+++ b/src/kestreltally/placing/turns.py
@@ -71,7 +71,7 @@
                 still[urgency] = count - met
         return still
 
-    def lend(self, endpoint: EndpointId, number: int, ends: Seconds) -> None:
+    def issue(self, endpoint: EndpointId, number: int, ends: Seconds) -> None:
         """Note a turn that is lent; it is told with the next update."""
         self.lent[endpoint] += 1
         self.last_turn[endpoint] = number
@@ -157,7 +157,7 @@
         self._pools: dict[EndpointId, _Pool] = {}
         self._number = 0
 
-    def lend(
+    def issue(
         self, endpoint: EndpointId, born: int, limit: LimitStanding, terms: Terms
     ) -> Seconds | None:
         """Lend what may be lent now; return when to look again, none if not."""
@@ -231,7 +231,7 @@
             self._own.last_turn[endpoint] = self._number
             self._take_own(endpoint, ends)
         else:
-            borrower.lend(endpoint, self._number, ends)
+            borrower.issue(endpoint, self._number, ends)
 
     def sum_open(self, endpoint: EndpointId) -> Wanted:
         """Return what all borrowers still want at an endpoint."""
--- a/src/kestreltally/placing/views.py
+++ b/src/kestreltally/placing/views.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from kestreltally.entry.fullness import Fullness
+from kestreltally.entry.occupancy import Fullness
 from kestreltally.estimates.pace import PaceTable
 from kestreltally.fleet.model import (
     EndpointId,
@@ -59,12 +59,12 @@
     now: Seconds
     fleet: Fleet
     demand: DemandTable
-    fullness: Fullness
-    paces: PaceTable
+    occupancy: Fullness
+    prefill_times: PaceTable
     uses: set[tuple[EndpointId, WeightsKey]]
     load_time: Seconds
 
-    def list_wanted(self, is_seen_to: Callable[[WeightsKey], bool]) -> list[Wanted]:
+    def list_requested(self, is_seen_to: Callable[[WeightsKey], bool]) -> list[Wanted]:
         """Return the adapters that may be loaded: waited for, or asked for often.
 
         What is being seen to already is left out. The others change no plan, and are
@@ -104,11 +104,11 @@
         # What others hold is brought elsewhere for who may not ask them.
         for endpoint in self.fleet.list_useful(self.service, self.now):
             where = endpoint.data_centre
-            under_way = self.fullness.under_way.get(endpoint.id, 0)
+            in_flight = self.occupancy.in_flight.get(endpoint.id, 0)
             for key in endpoint.weights:
                 counts = standing.holders[key]
                 counts[where] = counts.get(where, 0) + 1
-                if under_way < self.spec.batch:
+                if in_flight < self.spec.batch:
                     standing.roomy.add(key)
             for key in endpoint.loading:
                 counts = standing.coming[key]
@@ -133,17 +133,17 @@
     ) -> EngineView:
         """Return an engine as the planner sees it."""
         name = book.endpoint.id
-        unread = self.fullness.unread.get(name, 0)
+        unread = self.occupancy.unread.get(name, 0)
         return EngineView(
             id=name,
             data_centre=book.endpoint.data_centre,
             free=book.count_free(self.spec),
             held=tuple(self._list_held(book)),
             warm=copies,
-            running=self.fullness.under_way.get(name, 0),
+            running=self.occupancy.in_flight.get(name, 0),
             unread=unread + self._count_coming(book),
             batch=self.spec.batch,
-            pace=self.paces.find_pace(name),
+            pace=self.prefill_times.find_pace(name),
             load_time=self.load_time,
             able=able,
             able_cold=able_cold,
--- a/src/kestreltally/poison/ends.py
+++ b/src/kestreltally/poison/ends.py
@@ -139,7 +139,7 @@
         if not flights:
             del self._flights[flight.endpoint.id]
 
-    def forget_old(self) -> None:
+    def prune_old(self) -> None:
         """Drop requests that were over long ago, and what was asked of addresses."""
         oldest = self._clock() - REMEMBER_FOR
         for flights in list(self._flights.values()):
@@ -165,13 +165,13 @@
             async with asyncio.timeout(ASK_TIMEOUT):
                 _, writer = await asyncio.open_connection(endpoint.host, endpoint.port)
         except ConnectionRefusedError:
-            self.note_refused(endpoint)
+            self.record_refused(endpoint)
         except (OSError, TimeoutError) as error:
             LOG.debug("poison: %s does not tell: %r", endpoint.id, error)
         else:
             writer.close()
 
-    def note_refused(self, endpoint: Endpoint) -> None:
+    def record_refused(self, endpoint: Endpoint) -> None:
         """Take in that an endpoint's address takes no channel."""
         if self._flights.get(endpoint.id):
             self._note_end(endpoint, "refuses channels")
--- a/src/kestreltally/poison/guard.py
+++ b/src/kestreltally/poison/guard.py
@@ -35,8 +35,8 @@
     def keep_house(self) -> None:
         """Give the verdicts that are due, and forget what no longer counts."""
         self.register.judge()
-        self.ends.forget_old()
-        self.register.forget_old()
+        self.ends.prune_old()
+        self.register.prune_old()
 
     def _forget_digests(self) -> None:
         self.register.clear()
--- a/src/kestreltally/poison/keeping.py
+++ b/src/kestreltally/poison/keeping.py
@@ -153,7 +153,7 @@
         self._poison.secret.take(record.secret)
         if record.secret == self._poison.secret.value:
             shift = self._clock() - self._wall()
-            self._poison.register.note_told(_shift(record.sightings, shift))
+            self._poison.register.record_reported(_shift(record.sightings, shift))
 
     async def _write(self, sightings: list[Sighting]) -> bool:
         """Write what is stopped; tell whether it was written."""
--- a/src/kestreltally/poison/news.py
+++ b/src/kestreltally/poison/news.py
@@ -83,7 +83,7 @@
         found.reverse()
         return found
 
-    def forget_old(self) -> None:
+    def prune_old(self) -> None:
         """Forget what the leader has told of facts that are no longer kept."""
         if len(self._heard) > FACTS_MOST:
             self._heard &= {_identify(fact) for fact in self.list_since(0)}
--- a/src/kestreltally/poison/register.py
+++ b/src/kestreltally/poison/register.py
@@ -75,7 +75,7 @@
         self._clearings: dict[int, None] = {}
         self.news = News(clock)
         # Called when there is something to tell.
-        self.note_news: Callable[[], None] = lambda: None
+        self.notify_change: Callable[[], None] = lambda: None
 
     # What is asked of it.
 
@@ -189,7 +189,7 @@
             if isinstance(fact, Sighting):
                 self._tell_suspicion(fact)
         if news:
-            self.note_news()
+            self.notify_change()
         return bool(news)
 
     def _tell_suspicion(self, seen: Sighting) -> None:
@@ -210,7 +210,7 @@
             lives=sorted(suspect.sightings),
         )
 
-    def note_told(self, facts: Iterable[Fact]) -> bool:
+    def record_reported(self, facts: Iterable[Fact]) -> bool:
         """Take in what another daemon tells; tell whether any of it is news."""
         added = [self._add(fact) for fact in facts]
         return any(added)
@@ -305,10 +305,10 @@
         if not known:
             del self._outlines[suspect.fingerprint.outline]
 
-    def forget_old(self) -> None:
+    def prune_old(self) -> None:
         """Forget what no longer counts."""
         now = self._clock()
-        self.news.forget_old()
+        self.news.prune_old()
         for digest, suspect in list(self._suspects.items()):
             ends = (each.ended_at for each in suspect.sightings.values())
             if max(ends, default=suspect.cleared_at) <= now - MEMORY:
--- a/src/kestreltally/quotas/ledger.py
+++ b/src/kestreltally/quotas/ledger.py
@@ -86,7 +86,7 @@
         for name in self._accounts.keys() - self._grants.keys():
             del self._accounts[name]
 
-    def note(self, spendings: Iterable[Spending], now: Seconds) -> None:
+    def record(self, spendings: Iterable[Spending], now: Seconds) -> None:
         """Take in what some daemons granted."""
         for each in spendings:
             grant = self._grants.get(each.organisation)
@@ -102,7 +102,7 @@
             account.granted.add(each.granted, now)
             account.usual.add(each.asked, now)
 
-    def note_daemons(self, heard: int, now: Seconds) -> None:
+    def record_daemon_count(self, heard: int, now: Seconds) -> None:
         """Take in how many daemons are heard, this one among them.
 
         Those that are heard as a rule and are not now may be cut off, and grant on as
@@ -122,7 +122,7 @@
         """Return the units a second that daemons which are heard may spend."""
         return grant.rate * (1.0 - self._missing)
 
-    def make_words(self, now: Seconds) -> list[Word]:
+    def make_throttles(self, now: Seconds) -> list[Word]:
         """Return the word on each organisation near its limit, and at times on all.
 
         The ratio is 1 while one may spend freely.
--- a/src/kestreltally/systems/availability.py
+++ b/src/kestreltally/systems/availability.py
@@ -85,7 +85,7 @@
 
 
 @handles(EndpointFailed)
-def note_failure(world: World, failed: EndpointFailed) -> None:
+def record_failure(world: World, failed: EndpointFailed) -> None:
     """Count a failure for the breaker, and tell the leader what was seen."""
     limits = world.settings.limits
     if failed.counts:
--- a/src/kestreltally/systems/reports.py
+++ b/src/kestreltally/systems/reports.py
@@ -29,7 +29,7 @@
 
 
 @handles(ReportFetched)
-def take_report(world: World, fetched: ReportFetched) -> None:
+def apply_report(world: World, fetched: ReportFetched) -> None:
     """Bring the table of a led endpoint in line with its report."""
     led = world.leaders.led.get(fetched.endpoint)
     report = fetched.report
--- a/tests/entryrig.py
+++ b/tests/entryrig.py
@@ -269,7 +269,7 @@
     endpoints: list[ScriptedEndpoint], *routes: Route
 ) -> AsyncIterator[EntryRig]:
     fleet = Fleet()
-    fleet.take_configuration(make_configuration(1, *routes))
+    fleet.apply_configuration(make_configuration(1, *routes))
     servers = []
     for endpoint in endpoints:
         server = await asyncio.start_server(endpoint.serve, "127.0.0.1", 0)
@@ -282,7 +282,7 @@
     relay = Relay("north", fleet, pool, HealthTable(), budget)
     clock = asyncio.get_running_loop().time
     authority = Authority(bound=5.0, clock=clock)
-    authority.note(clock())
+    authority.record(clock())
     identity = IdentityCheck(fleet, authority)
     relay.check_caller = identity.check_again
     limiter = LIMITERS[DEFAULT](clock, BOUNDS.quota)
--- a/tests/leaderrig.py
+++ b/tests/leaderrig.py
@@ -103,7 +103,7 @@
             self.fell += 1
         return 202
 
-    def note(self, now: float) -> None:
+    def record(self, now: float) -> None:
         self.settle(now)
         report = {
             "Models": [
@@ -192,7 +192,7 @@
         names = [f"e{number}" for number in range(1, engines + 1)]
         self.engines = {name: FakeEngine(name, "north") for name in names}
         self.fleet = Fleet()
-        self.fleet.take_configuration(make_model_configuration())
+        self.fleet.apply_configuration(make_model_configuration())
         self.caller = FakeCaller(self.engines, self.lease, seed)
         self.leader = Leader(
             self.fleet,
@@ -213,13 +213,13 @@
     async def write_reports(self) -> None:
         while True:
             for engine in self.engines.values():
-                engine.note(asyncio.get_running_loop().time())
+                engine.record(asyncio.get_running_loop().time())
             await asyncio.sleep(0.02)
 
     def ask(self, number: int, waiting: int = 1) -> None:
         key = WeightsKey(MODEL, f"a{number}")
         told = WeightsDemand(MODELS, key, arrivals=1, waiting=waiting, missed=0)
-        self.leader.take_demand("vm", "north", [told])
+        self.leader.apply_demand("vm", "north", [told])
 
     def list_holders(self, number: int) -> list[str]:
         return [n for n, each in self.engines.items() if f"a{number}" in each.held]
--- a/tests/lendersim.py
+++ b/tests/lendersim.py
@@ -17,8 +17,8 @@
 
 from kestreltally.fleet.limits import LimitStanding
 from kestreltally.fleet.model import EndpointId
-from kestreltally.knowledge.following import FEED_SILENT
-from kestreltally.knowledge.headcount import Headcount
+from kestreltally.knowledge.daemon_count import DaemonCount
+from kestreltally.knowledge.feed_client import FEED_SILENCE_TIMEOUT
 from kestreltally.placing.lease import (
     RENEW_EVERY,
     TAKE_AFTER,
@@ -67,7 +67,7 @@
     joined_at: float = 0.0
     suspended_until: float = 0.0
     holdings: dict[int, Holding] = field(default_factory=dict)
-    headcount: Headcount = field(default_factory=Headcount)
+    headcount: DaemonCount = field(default_factory=DaemonCount)
     heard_owner_at: float = 0.0
 
 
@@ -159,7 +159,7 @@
             # A daemon that is started again holds nothing, and knows nobody.
             lost = self.draw.choice(leaders)
             lost.holdings.clear()
-            lost.headcount = Headcount()
+            lost.headcount = DaemonCount()
             lost.joined_at = self.now
 
     def _part(self, cells: int) -> None:
@@ -234,7 +234,7 @@
                 continue
             terms = self._find_terms(daemon)
             if terms is not None:
-                daemon.lender.lend(E, 1, daemon.standing, terms)
+                daemon.lender.issue(E, 1, daemon.standing, terms)
 
     def _count(self) -> None:
         """Work out whom each leader hears."""
@@ -245,7 +245,7 @@
             if primary is not None:
                 self.groups[primary] += 1
                 if primary is not daemon:
-                    daemon.headcount.note(primary.headcount.most or 1, self.now)
+                    daemon.headcount.record(primary.headcount.most or 1, self.now)
         for daemon in self.list_holders():
             if self._runs(daemon):
                 owner = self._find_holder(daemon, OWN)
@@ -255,7 +255,7 @@
                 others = (d for d in self.list_holders() if d is not daemon)
                 heard = [each for each in others if self._hears(daemon, each)]
                 all_heard = sum(self.groups[d] for d in (daemon, *heard))
-                daemon.headcount.note(all_heard, self.now)
+                daemon.headcount.record(all_heard, self.now)
 
     def _find_terms(self, daemon: Daemon) -> Terms | None:
         held = daemon.holdings.get(OWN)
@@ -269,7 +269,7 @@
                 if owner is daemon and other is not daemon
             )
             group += sum(asking)
-        elif self.now - daemon.heard_owner_at < FEED_SILENT:
+        elif self.now - daemon.heard_owner_at < FEED_SILENCE_TIMEOUT:
             return None
         return find_unleased_terms(self.limit, group, daemon.headcount.most or 0)
 
--- a/tests/limitsim.py
+++ b/tests/limitsim.py
@@ -27,9 +27,9 @@
 WAIT_MOST: Final = 0.5
 GROUPS: Final = 3
 TRIP: Final = (0.001, 0.004)
-REPORT_EVERY: Final = 0.2
-REPORT_GAP: Final = 0.02
-GATHER: Final = (0.02, 0.05)
+REPORT_INTERVAL: Final = 0.2
+MIN_REPORT_INTERVAL: Final = 0.02
+MIN_BATCH_DELAY: Final = (0.02, 0.05)
 E: Final = EndpointId("e")
 HEARD: Final = Lending(heard=True, daemons=None)
 
@@ -150,7 +150,7 @@
     def _tell(self) -> None:
         self.total = sum(each.asked.read(self.now) for each in self.daemons)
         self.words += len(self.daemons)
-        self.after(REPORT_EVERY, self._tell)
+        self.after(REPORT_INTERVAL, self._tell)
 
     def may_send(self, daemon: Daemon) -> bool:
         part = daemon.asked.read(self.now) / max(self.total, 1e-9)
@@ -219,19 +219,19 @@
     def _report_soon(self, daemon: Daemon) -> None:
         if not daemon.reports:
             daemon.reports = True
-            gap = max(0.0, daemon.reported_at + REPORT_GAP - self.now)
+            gap = max(0.0, daemon.reported_at + MIN_REPORT_INTERVAL - self.now)
             self.after(gap, lambda: self._report(daemon))
 
     def _report_later(self, daemon: Daemon) -> None:
-        if not daemon.reports and daemon.standing.list_wanted(self.now):
+        if not daemon.reports and daemon.standing.list_requested(self.now):
             daemon.reports = True
-            wait = daemon.reported_at + REPORT_EVERY - self.now
+            wait = daemon.reported_at + REPORT_INTERVAL - self.now
             self.after(max(0.0, wait), lambda: self._report(daemon))
 
     def _report(self, daemon: Daemon) -> None:
         daemon.reports = False
         daemon.reported_at = self.now
-        wanted, got = daemon.standing.list_wanted(self.now), daemon.received
+        wanted, got = daemon.standing.list_requested(self.now), daemon.received
         self.words += 1
 
         def arrive() -> None:
@@ -255,10 +255,10 @@
             self.forwards[group].received = {E: got}
             self._lend()
 
-        self.after(self.draw.uniform(*TRIP) + REPORT_GAP, arrive)
+        self.after(self.draw.uniform(*TRIP) + MIN_REPORT_INTERVAL, arrive)
 
     def _lend(self) -> None:
-        wait = self.leaders[0].lend(E, 1, self.owner, self.terms)
+        wait = self.leaders[0].issue(E, 1, self.owner, self.terms)
         if wait is not None and not self.now < self.look_at <= self.now + wait:
             self.look_at = self.now + wait
             self.after(wait, self._lend)
@@ -280,14 +280,16 @@
             self.leaders[group].hand_on(E, ends)
             self._tell_followers(group)
 
-        self.after(self.draw.uniform(*TRIP) + self.draw.uniform(*GATHER), arrive)
+        self.after(
+            self.draw.uniform(*TRIP) + self.draw.uniform(*MIN_BATCH_DELAY), arrive
+        )
 
     def _tell_followers(self, group: int) -> None:
         for daemon in self.groups[group]:
             ends = daemon.borrower.take_untold().get(E)
             if ends is not None:
                 self.words += 1
-                wait = self.draw.uniform(*TRIP) + self.draw.uniform(*GATHER)
+                wait = self.draw.uniform(*TRIP) + self.draw.uniform(*MIN_BATCH_DELAY)
                 self.after(wait, self._make_arrival(daemon, ends))
 
     def _make_arrival(self, daemon: Daemon, ends: list[float]) -> Callable[[], None]:
--- a/tests/poisonsim.py
+++ b/tests/poisonsim.py
@@ -238,7 +238,7 @@
                 way += self._draw.uniform(*UPDATE)
             self.at(
                 heard + way + extra,
-                lambda to=other: to.register.note_told(facts),  # type: ignore[misc]
+                lambda to=other: to.register.record_reported(facts),  # type: ignore[misc]
             )
 
 
--- a/tests/quotasim.py
+++ b/tests/quotasim.py
@@ -244,7 +244,7 @@
         spendings = daemon.limiter.take_spendings()
 
         def take() -> None:
-            leader.ledger.note(spendings, self.now)
+            leader.ledger.record(spendings, self.now)
             for number in range(GROUPS):
                 leader.unsent[number].add(spendings)
 
@@ -256,8 +256,8 @@
                 continue
             self._tell_leaders(number, leader)
             heard = sum(not each.cut for each in self.daemons)
-            leader.ledger.note_daemons(heard, self.now)
-            words = leader.ledger.make_words(self.now)
+            leader.ledger.record_daemon_count(heard, self.now)
+            words = leader.ledger.make_throttles(self.now)
             for daemon in self.daemons:
                 if self._find_leader(daemon) is leader:
                     limiter = daemon.limiter
@@ -269,7 +269,7 @@
                 continue
             spendings: list[Spending] = leader.unsent[other_number].take(self.now)
             ledger = other.ledger
-            self._post(lambda to=ledger, s=spendings: to.note(s, self.now))  # type: ignore[misc]
+            self._post(lambda to=ledger, s=spendings: to.record(s, self.now))  # type: ignore[misc]
 
     def _measure_over(self) -> float:
         """Return the fullest window as a part of the rule's bound.
--- a/tests/restsim.py
+++ b/tests/restsim.py
@@ -70,7 +70,7 @@
         for table in self.tables:
             # All were turned away as the rest began.
             told_at = self.draw.uniform(0.0, 0.2)
-            table.note(ENDPOINT, Notice(False, REST - told_at), told_at)
+            table.record(ENDPOINT, Notice(False, REST - told_at), told_at)
             self.at(self.draw.expovariate(self.rate), self._make_arrival(table))
         self.time.run_until(ENDS_AT)
         return self
@@ -106,7 +106,7 @@
     def _answer(
         self, table: NoticeTable, trial: bool, notice: Notice, now: float
     ) -> None:
-        table.note(ENDPOINT, notice, now)
+        table.record(ENDPOINT, notice, now)
         if trial:
             table.end_trial(ENDPOINT)
         if notice == SILENT:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -3,7 +3,7 @@
 import pytest
 
 from kestreltally.entry.choice import Option, choose_least_cost
-from kestreltally.entry.fullness import EMPTY, Fullness
+from kestreltally.entry.occupancy import EMPTY, Fullness
 from kestreltally.estimates.pace import Reading
 from kestreltally.fleet.model import Endpoint, EndpointId
 from tests.entryrig import MODELS
@@ -13,7 +13,7 @@
     endpoint = Endpoint(EndpointId(name), MODELS, "h", 1, "north", 8, False, {})
     return Option(
         endpoint=endpoint,
-        under_way=int(counts.get("under_way", 0)),
+        in_flight=int(counts.get("in_flight", 0)),
         far=far,
         reading=Reading(own=0, ahead=0.0, priority=0),
         first=counts.get("first", 0.1),
@@ -23,17 +23,17 @@
 @pytest.mark.parametrize(
     ("other", "chosen"),
     [
-        (make_option("b", under_way=4), "a"),
+        (make_option("b", in_flight=4), "a"),
         (make_option("b", far=True), "a"),
         # Its batch is empty, but a long prompt keeps it from beginning.
         (make_option("b", first=0.6), "a"),
         (make_option("b", first=0.12), "b"),
         # It has read the prompt before.
-        (make_option("b", under_way=3, first=0.02), "b"),
+        (make_option("b", in_flight=3, first=0.02), "b"),
     ],
 )
 def test_the_endpoint_that_begins_soonest_is_chosen(other: Option, chosen: str) -> None:
-    option = choose_least_cost([make_option("a", under_way=2), other])
+    option = choose_least_cost([make_option("a", in_flight=2), other])
     assert option.endpoint.id == chosen
 
 
--- a/tests/test_turn_exchange.py
+++ b/tests/test_credit_exchange.py
@@ -6,11 +6,11 @@
 from kestreltally.fleet.limits import LimitStanding
 from kestreltally.fleet.model import Endpoint
 from kestreltally.fleet.tables import Fleet
-from kestreltally.knowledge.parts import Heard
+from kestreltally.knowledge.credits import CreditExchange
+from kestreltally.knowledge.feed_parts import ReceivedUpdate
 from kestreltally.knowledge.peer import Peer
-from kestreltally.knowledge.rows import encode_notice, encode_turns, encode_wanted
+from kestreltally.knowledge.rows import encode_credits, encode_notice, encode_requested
 from kestreltally.knowledge.structs import Report, Update
-from kestreltally.knowledge.turns import TurnExchange
 from tests.test_limit_table import LIMITED
 from tests.test_notice_table import ENDPOINT, NOW
 
@@ -22,27 +22,27 @@
 
     def __init__(self, *, leads: bool = False) -> None:
         self.now = NOW
-        self.come: list[Endpoint] = []
+        self.credited: list[Endpoint] = []
         self.peers: list[Peer] = []
-        self.hurried = 0
+        self.expedited = 0
         self.fleet = Fleet()
         self.fleet.put_endpoint(ENDPOINT)
-        self.fleet.notices.note(ENDPOINT, LIMITED, NOW)
+        self.fleet.notices.record(ENDPOINT, LIMITED, NOW)
         lease = SimpleNamespace(
             data_centre=LEADER, leads=leads, holds_alone=lambda: leads
         )
         leaders = SimpleNamespace(
             leads=leads,
             find_primary=lambda: LEADER,
-            is_heard=lambda _: True,
-            clients={LEADER: SimpleNamespace(hurry=self._note_hurry)},
+            is_reachable=lambda _: True,
+            clients={LEADER: SimpleNamespace(expedite=self._record_expedite)},
         )
         feed = SimpleNamespace(
             list_followers=lambda: self.peers,
             list_leaders=list,
-            hurry=self._note_hurry,
+            expedite=self._record_expedite,
         )
-        self.exchange = TurnExchange(
+        self.exchange = CreditExchange(
             self.fleet,
             cast(Any, {LEADER: lease}),
             cast(Any, leaders),
@@ -50,10 +50,10 @@
             cast(Any, feed),
             lambda: self.now,
         )
-        self.exchange.note_turn = self.come.append
+        self.exchange.record_credit = self.credited.append
 
-    def _note_hurry(self) -> None:
-        self.hurried += 1
+    def _record_expedite(self) -> None:
+        self.expedited += 1
 
     @property
     def limit(self) -> LimitStanding:
@@ -61,43 +61,43 @@
         assert limit is not None
         return limit
 
-    def take_turn(self, reported_at: float, echo_age: float) -> None:
+    def apply_credit(self, reported_at: float, echo_age: float) -> None:
         update = Update(
             leads=[],
-            turns=[encode_turns(ENDPOINT.id, [0.4])],
+            turns=[encode_credits(ENDPOINT.id, [0.4])],
             echo=reported_at,
             echo_age=echo_age,
         )
-        heard = Heard(update, LEADER, frozenset(), NOW, followed=True)
-        self.exchange.take_update(heard)
+        received = ReceivedUpdate(update, LEADER, frozenset(), NOW, followed=True)
+        self.exchange.apply_update(received)
 
-    def read_received(self) -> int:
+    def get_received_count(self) -> int:
         report = Report()
         self.exchange.fill_report(report, LEADER)
         received: int = report.wanted[0].received
         return received
 
 
-async def test_a_turn_that_comes_late_lends_nothing_and_counts_as_received() -> None:
+async def test_late_credit_is_expired_but_counts_as_received() -> None:
     rig = Rig()
     # Reported 0.2 s ago and answered 0.1 s later: 0.3 s are left of the turn.
-    rig.take_turn(NOW - 0.2, 0.1)
+    rig.apply_credit(NOW - 0.2, 0.1)
     assert [round(ends - NOW, 6) for ends in rig.limit.turns] == [0.3]
     # The daemon stood still, or the link did, for five seconds.
     rig.now += 5.0
-    rig.take_turn(NOW - 0.2, 0.1)
+    rig.apply_credit(NOW - 0.2, 0.1)
     assert rig.fleet.notices.find_rest(ENDPOINT, rig.now) > 0
-    assert len(rig.come) == 1
-    assert rig.read_received() == 2
+    assert len(rig.credited) == 1
+    assert rig.get_received_count() == 2
     # Over another connection counting begins anew.
-    rig.exchange.note_connected(LEADER)
-    assert rig.read_received() == 0
+    rig.exchange.record_connected(LEADER)
+    assert rig.get_received_count() == 0
 
 
-async def test_a_request_that_waits_has_its_turn_asked_for_at_once() -> None:
+async def test_waiting_request_requests_credit_at_once() -> None:
     rig = Rig()
     with rig.fleet.notices.wait_for_turns([ENDPOINT], 1):
-        assert rig.hurried == 1
+        assert rig.expedited == 1
         report = Report()
         rig.exchange.fill_report(report, LEADER)
         (row,) = report.wanted
@@ -106,15 +106,15 @@
     assert report.wanted[0].counts == {}
 
 
-async def test_a_leader_lends_once_what_its_follower_wants() -> None:
+async def test_leader_issues_requested_credit_once() -> None:
     rig = Rig(leads=True)
-    peer = Peer(cast(Any, None), vm="south-1", stamp=3.0, stamped_at=NOW - 0.1)
+    peer = Peer(cast(Any, None), vm="south-1", stamp=3.0, stamp_received_at=NOW - 0.1)
     rig.peers.append(peer)
-    rig.exchange.lend()
+    rig.exchange.issue()
     rig.now += 5.0
-    wanted = encode_wanted(ENDPOINT.id, {2: 1}, 0)
-    rig.exchange.take_report(peer, Report(wanted=[wanted]))
-    assert rig.hurried == 1
+    wanted = encode_requested(ENDPOINT.id, {2: 1}, 0)
+    rig.exchange.apply_report(peer, Report(wanted=[wanted]))
+    assert rig.expedited == 1
     update = Update()
     rig.exchange.fill_update(update, peer)
     assert [round(each, 6) for each in update.turns[0].lasts] == [0.4]
@@ -122,14 +122,14 @@
     (notice,) = rig.fleet.notices.list_known(rig.now)
     assert update.notices == [encode_notice(notice)]
     # Nor is what is on its way lent, or told, again.
-    rig.exchange.take_report(peer, Report(wanted=[wanted]))
+    rig.exchange.apply_report(peer, Report(wanted=[wanted]))
     rig.exchange.fill_update(update, peer)
     assert update.turns == []
 
 
-async def test_a_leader_lends_itself_one_turn_for_each_request_that_waits() -> None:
+async def test_leader_issues_itself_one_credit_per_waiting_request() -> None:
     rig = Rig(leads=True)
-    rig.exchange.lend()
+    rig.exchange.issue()
     rig.now += 5.0
     with rig.fleet.notices.wait_for_turns([ENDPOINT], 1):
         assert len(rig.limit.turns) == 1
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -109,14 +109,14 @@
     rig = Rig(staying=False)
     endpoint = make_endpoint(reserve_port())
     rig.fly(endpoint)
-    rig.watch.note_refused(endpoint)
+    rig.watch.record_refused(endpoint)
     rig.watch.note_gone(endpoint)
     rig.watch.note_replaced(endpoint)
     assert rig.list_lives() == set()
 
 
 END_SIGNS: list[Callable[[EndWatch, Endpoint], None]] = [
-    EndWatch.note_refused,
+    EndWatch.record_refused,
     EndWatch.note_gone,
     EndWatch.note_replaced,
 ]
@@ -149,7 +149,7 @@
     rig.watch.end(flight)
     rig.clock.now += 1.0
     rig.heard_at = rig.clock.now
-    rig.watch.note_refused(make_endpoint())
+    rig.watch.record_refused(make_endpoint())
     assert rig.list_lives() == set()
 
 
@@ -157,8 +157,8 @@
     rig = Rig()
     rig.watch.end(rig.fly(make_endpoint()))
     rig.clock.now += REMEMBER_FOR + 0.1
-    rig.watch.forget_old()
-    rig.watch.note_refused(make_endpoint())
+    rig.watch.prune_old()
+    rig.watch.record_refused(make_endpoint())
     assert rig.list_lives() == set()
 
 
@@ -237,7 +237,7 @@
         request = replace(make_request(body=b"abc"), route=route)
         seen = make_fingerprint(request, SECRET)
         now = asyncio.get_running_loop().time()
-        poison.register.note_told(
+        poison.register.record_reported(
             [Sighting(seen, Life("b"), now - 1, now - 0.9, False, 1)]
         )
         await rig.ask("POST", body=b"abc")
@@ -260,7 +260,7 @@
 
         def tell() -> None:
             first = clock() - 9
-            poison.register.note_told(
+            poison.register.record_reported(
                 Sighting(seen, Life(f"b{n}"), first + n, first + n + 0.1, False, 1)
                 for n in range(3)
             )
