--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -14,8 +14,8 @@
 from thriftpy2.utils import serialize
 
 from kestreltally.fleet.model import Endpoint, EndpointId
-from kestreltally.knowledge.followers import EndpointsFollower, VersionsFollower
 from kestreltally.knowledge.rows import encode_endpoint
+from kestreltally.knowledge.watch_handlers import EndpointsHandler, VersionsHandler
 from kestreltally.platform.documents import MalformedDocument, decode_endpoint
 from kestreltally.platform.engines import decode_report
 from kestreltally.platform.store import Listing, StoredObject, read_listed, read_page
@@ -32,7 +32,7 @@
     "Models": [{"Name": "base", "Version": 1, "Adapters": ["a1@1"]}],
     "born": 1_769_353_084_983,
 }
-ODD = st.recursive(
+MALFORMED = st.recursive(
     st.none()
     | st.booleans()
     | st.integers(-(2**70), 2**70)
@@ -43,45 +43,45 @@
     | st.dictionaries(st.sampled_from([*GOOD, "Name", "Adapters"]), inner, max_size=4),
     max_leaves=8,
 )
-ENTRIES = ODD | st.fixed_dictionaries(
-    {}, optional={name: ODD | st.just(value) for name, value in GOOD.items()}
+ENTRIES = MALFORMED | st.fixed_dictionaries(
+    {}, optional={name: MALFORMED | st.just(value) for name, value in GOOD.items()}
 )
 
 
-def take(entries: list[Any]) -> list[Endpoint]:
+def apply_entries(entries: list[Any]) -> list[Endpoint]:
     """Return what a follower takes of a listing, each fit to be told to others."""
-    taken: list[Endpoint] = []
-    follower = EndpointsFollower(
-        taken.append, lambda _: None, lambda: 0.0, lambda: float("-inf")
+    applied: list[Endpoint] = []
+    follower = EndpointsHandler(
+        applied.append, lambda _: None, lambda: 0.0, lambda: float("-inf")
     )
     objects = (
         StoredObject(f"i-{number}", number, entry)
         for number, entry in enumerate(entries)
     )
-    follower.take_listing(Listing(tuple(objects), 1))
-    for endpoint in taken:
+    follower.apply_listing(Listing(tuple(objects), 1))
+    for endpoint in applied:
         serialize(encode_endpoint(endpoint))
-    return taken
+    return applied
 
 
 @settings(max_examples=300, deadline=None)
-@given(odd=ENTRIES)
-@example(odd={**GOOD, "Zone": ["north"]})
-@example(odd={**GOOD, "Address": 5})
-@example(odd={**GOOD, "State": "resting"})
-@example(odd={**GOOD, "born": "yesterday"})
-@example(odd={**GOOD, "Slots": float("inf")})
-@example(odd={**GOOD, "Models": [{"Name": "base", "Adapters": [5]}]})
-@example(odd={**GOOD, "Address": "name.example:80"})
-def test_an_odd_entry_stops_no_other(odd: Any) -> None:
-    taken = take([GOOD, odd, GOOD])
-    assert {"i-0", "i-2"} <= {each.id for each in taken}
-    for endpoint in taken:
+@given(malformed=ENTRIES)
+@example(malformed={**GOOD, "Zone": ["north"]})
+@example(malformed={**GOOD, "Address": 5})
+@example(malformed={**GOOD, "State": "resting"})
+@example(malformed={**GOOD, "born": "yesterday"})
+@example(malformed={**GOOD, "Slots": float("inf")})
+@example(malformed={**GOOD, "Models": [{"Name": "base", "Adapters": [5]}]})
+@example(malformed={**GOOD, "Address": "name.example:80"})
+def test_malformed_entry_does_not_affect_others(malformed: Any) -> None:
+    applied = apply_entries([GOOD, malformed, GOOD])
+    assert {"i-0", "i-2"} <= {each.id for each in applied}
+    for endpoint in applied:
         assert endpoint.data_centre and isinstance(endpoint.data_centre, str)
         assert 0 < endpoint.port < 2**16 and endpoint.slots > 0
 
 
-def test_what_an_entry_must_have() -> None:
+def test_entry_without_required_field_is_rejected() -> None:
     assert decode_endpoint("i-1", GOOD).born == GOOD["born"]
     for field in ("Service", "Address", "Zone", "Slots", "State"):
         missing = {name: value for name, value in GOOD.items() if name != field}
@@ -94,32 +94,32 @@
 
 
 @settings(max_examples=100, deadline=None)
-@given(odd=ODD)
-def test_an_odd_version_stops_no_other(odd: Any) -> None:
-    taken = []
-    follower = VersionsFollower(lambda key, number: taken.append((key, number)))
+@given(malformed=MALFORMED)
+def test_malformed_version_does_not_affect_others(malformed: Any) -> None:
+    applied = []
+    follower = VersionsHandler(lambda key, number: applied.append((key, number)))
     good = {"Model": "base", "Adapter": "a1", "Version": 2}
-    follower.take_listing(
-        Listing(tuple(StoredObject("v", 1, each) for each in (odd, good)), 1)
+    follower.apply_listing(
+        Listing(tuple(StoredObject("v", 1, each) for each in (malformed, good)), 1)
     )
-    assert taken and taken[-1] == (("base", "a1"), 2)
-    for key, number in taken:
+    assert applied and applied[-1] == (("base", "a1"), 2)
+    for key, number in applied:
         assert key.model and 0 <= number < 2**31
 
 
 @settings(max_examples=100, deadline=None)
-@given(odd=ODD)
-def test_an_odd_report_is_an_error_of_one_kind(odd: Any) -> None:
+@given(malformed=MALFORMED)
+def test_malformed_report_raises_only_value_errors(malformed: Any) -> None:
     with suppress(ValueError):
-        decode_report(json.dumps(odd).encode())
+        decode_report(json.dumps(malformed).encode())
 
 
-def test_bytes_that_cannot_be_read_leave_the_rest_of_a_page() -> None:
+def test_undecodable_bytes_do_not_affect_rest_of_page() -> None:
     good = {"Metadata": {"Name": "i-0", "Revision": 1}, "Specification": GOOD}
-    odd = {"Metadata": {"Name": "i-1", "Revision": 2}, "Specification": "?"}
-    page = {"items": [good, odd, {"Metadata": None}, 5], "CurrentRev": 3}
+    malformed = {"Metadata": {"Name": "i-1", "Revision": 2}, "Specification": "?"}
+    page = {"items": [good, malformed, {"Metadata": None}, 5], "CurrentRev": 3}
     content = json.dumps(page).encode().replace(b'"?"', b'"\xff\xfe\x01"')
     listed = read_listed(read_page("GET servers", content)["items"])
     assert [each.name for each in listed] == ["i-0", "i-1"]
-    taken = take([each.content for each in listed])
-    assert [each.id for each in taken] == [EndpointId("i-0")]
+    applied = apply_entries([each.content for each in listed])
+    assert [each.id for each in applied] == [EndpointId("i-0")]
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -365,11 +365,11 @@
     async with run_entry([engine], make_route(STREAM, service=MODELS)) as rig:
         now = asyncio.get_running_loop().time()
         rig.relay.finder.load_wait = 1.5
-        rig.fleet.take_version(KEY, 2, now)
+        rig.fleet.apply_version(KEY, 2, now)
         assert (await rig.ask("POST", headers=MODEL, body=b"p")).whole
         assert engine.seen[0].find(b"x-expect-version") is None
         rig.fleet.versions.clear()
-        rig.fleet.take_version(KEY, 2, now - 3.0)
+        rig.fleet.apply_version(KEY, 2, now - 3.0)
         assert (await rig.ask("POST", headers=MODEL, body=b"p")).status == 503
         rig.fleet.put_endpoint(mark_version(engine.make_row(), 2))
         assert (await rig.ask("POST", headers=MODEL, body=b"p")).whole
@@ -432,9 +432,9 @@
 async def test_a_configuration_never_goes_back() -> None:
     endpoint = ScriptedEndpoint("e1", answer_whole)
     async with run_entry([endpoint], make_route()) as rig:
-        rig.fleet.take_configuration(make_configuration(3, make_route(prefix="/new/")))
+        rig.fleet.apply_configuration(make_configuration(3, make_route(prefix="/new/")))
         older = make_configuration(2, make_route(), make_route(prefix="/new/"))
-        assert not rig.fleet.take_configuration(older)
+        assert not rig.fleet.apply_configuration(older)
         assert (await rig.ask(path="/r/x")).status == 404
         assert (await rig.ask(path="/new/x")).status == 200
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -24,14 +24,14 @@
 )
 
 # What the store forgets.
-LOST = 2.0
+LOST_SECONDS = 2.0
 
 
-async def lose_what_is_new(rig: FleetRig) -> None:
+async def restore_recent_backup(rig: FleetRig) -> None:
     """Have the store come back from a copy of some seconds ago."""
-    kept = rig.store.copy()
-    await asyncio.sleep(LOST)
-    await rig.store.restore(kept)
+    backup = rig.store.copy()
+    await asyncio.sleep(LOST_SECONDS)
+    await rig.store.restore(backup)
 
 
 def check_orders(rig: FleetRig) -> None:
@@ -43,10 +43,10 @@
         assert len({fence for _, fence in named}) == len(named)
 
 
-async def test_leaders_go_on_as_the_store_comes_back_from_a_copy() -> None:
+async def test_leaders_continue_after_store_restore() -> None:
     async with run_fleet() as rig:
         for number in range(2):
-            await lose_what_is_new(rig)
+            await restore_recent_backup(rig)
             calls = rig.store.calls
             await asyncio.sleep(1.0)
             # Four engines write 3.3 times a second each, two daemons renew and watch.
@@ -59,41 +59,39 @@
         assert all(each._exchange.leaders.leads for each in rig.daemons.values())
 
 
-async def test_a_configuration_is_in_force_though_its_revision_was_given_before() -> (
-    None
-):
+async def test_configuration_with_reused_revision_comes_into_force() -> None:
     async with run_fleet() as rig:
-        kept = rig.store.copy()
-        await asyncio.sleep(LOST)
+        backup = rig.store.copy()
+        await asyncio.sleep(LOST_SECONDS)
         # The operator has written already, and others have moved the revisions on: no
         # daemon sees the store with a lower one than it knows.
-        kept.objects["config"]["main"]["Specification"] = make_configuration(7, "/b/")
-        await rig.store.restore(kept, moved_on=200)
+        backup.objects["config"]["main"]["Specification"] = make_configuration(7, "/b/")
+        await rig.store.restore(backup, moved_on=200)
         for vm in rig.daemons:
             await rig.ask_until(vm, "/b/x", 200, 2.0)
 
 
-async def test_an_older_configuration_replaces_no_newer_one() -> None:
+async def test_older_configuration_does_not_replace_newer_one() -> None:
     async with run_fleet() as rig:
-        kept = rig.store.copy()
+        backup = rig.store.copy()
         await rig.store.put("config", "main", make_configuration(4, "/b/"))
         for vm in rig.daemons:
             await rig.ask_until(vm, "/b/x", 200, 2.0)
-        await rig.store.restore(kept)
+        await rig.store.restore(backup)
         for _ in range(10):
             await asyncio.sleep(0.1)
             for vm in rig.daemons:
                 assert (await rig.ask(vm, "/b/x")).status == 200
 
 
-async def test_endpoints_that_the_copy_lacks_are_used_on() -> None:
+async def test_endpoints_missing_in_backup_stay_in_use() -> None:
     async with run_fleet() as rig:
-        kept = rig.store.copy()
-        kept.objects["servers"].clear()
+        backup = rig.store.copy()
+        backup.objects["servers"].clear()
         assert (await rig.ask("north-1", "/m/x", "a1", "begin")).whole
         for engine in rig.engines:
             engine.keeps_silent_in_the_store(1.5)
-        await rig.store.restore(kept)
+        await rig.store.restore(backup)
         for number in range(10):
             await asyncio.sleep(0.1)
             assert (await rig.ask("south-1", "/a/x")).status == 200
@@ -101,15 +99,15 @@
             assert reply.whole and read_runs(reply) == {"a1@1"}
 
 
-async def test_an_endpoint_that_said_it_leaves_stays_left_alone() -> None:
+async def test_leaving_endpoint_stays_unused_after_restore() -> None:
     async with run_fleet() as rig:
         first, second = [each for each in rig.engines if not each.model]
-        kept = rig.store.copy()
+        backup = rig.store.copy()
         first.state = "draining"
         await asyncio.sleep(1.2)
         first.keeps_silent_in_the_store(1.5)
         before = sum(first.runs.values())
-        await rig.store.restore(kept)
+        await rig.store.restore(backup)
         for number in range(12):
             await asyncio.sleep(0.1)
             for vm in rig.daemons:
@@ -119,18 +117,18 @@
         assert sum(second.runs.values()) >= 24
 
 
-async def serve_from_a_copy(rig: FleetRig, vm: str) -> list[int]:
+async def restart_from_backup(rig: FleetRig, vm: str) -> list[int]:
     """Restart the store from a copy, and a daemon then; return what it answers.
 
     The operators write again what the copy lacks after a second.
     """
-    kept = rig.store.copy()
+    backup = rig.store.copy()
     newer = make_configuration(4, "/b/")
     await rig.store.put("config", "main", newer)
     for each in rig.daemons:
         await rig.ask_until(each, "/b/x", 200, 2.0)
     await rig.daemons.pop(vm).close()
-    await rig.store.restore(kept)
+    await rig.store.restore(backup)
     await rig.add_daemon(vm, vm.partition("-")[0])
     asyncio.get_running_loop().call_later(
         1.0, lambda: asyncio.ensure_future(rig.store.put("config", "main", newer))
@@ -142,20 +140,20 @@
     return statuses
 
 
-async def test_a_daemon_that_starts_with_a_copy_acts_on_no_old_configuration() -> None:
+async def test_daemon_started_on_backup_ignores_old_configuration() -> None:
     # Guards against routes that a restarted daemon denies, or serves as they were.
     async with run_fleet() as rig:
         await rig.daemons.pop("south-1").close()
-        statuses = await serve_from_a_copy(rig, "north-1")
+        statuses = await restart_from_backup(rig, "north-1")
         assert set(statuses) <= {200, 503}
         assert statuses[-10:] == [200] * 10
 
 
-async def test_a_daemon_that_starts_with_a_copy_takes_a_leaders_word() -> None:
+async def test_daemon_started_on_backup_applies_leaders_configuration() -> None:
     async with run_fleet() as rig:
         await rig.add_daemon("north-2", "north")
         await asyncio.sleep(0.5)
-        statuses = await serve_from_a_copy(rig, "north-2")
+        statuses = await restart_from_backup(rig, "north-2")
         assert set(statuses) <= {200, 503}
         # Before the operators have written again.
         assert statuses[7:] == [200] * 23
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -25,9 +25,9 @@
 
     def __post_init__(self) -> None:
         self.handover = Handover(self.fleet, self.demand)
-        self.handover.find_rooms = lambda: self.rooms
-        self.handover.can_hand = lambda name: name in self.rooms
-        self.handover.hurry = self.hurried.append
+        self.handover.get_free_capacity = lambda: self.rooms
+        self.handover.can_hand_over = lambda name: name in self.rooms
+        self.handover.expedite = self.hurried.append
 
     def wait(self, key: WeightsKey, data_centre: str = OWN, at: float = 0.0) -> None:
         told = WeightsDemand(MODELS, key, arrivals=1, waiting=1, missed=0)
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -22,8 +22,8 @@
 from kestreltally.fleet.organisations import KeyTable, digest_key
 from kestreltally.fleet.tables import Fleet
 from kestreltally.knowledge.authority import (
-    FRESH,
-    MARGIN,
+    DRIFT_MARGIN,
+    FRESHNESS_LIMIT,
     Authority,
     ConfigurationReader,
 )
@@ -58,7 +58,7 @@
 def put_organisations(rig: EntryRig, *organisations: Organisation) -> None:
     current = rig.fleet.configuration
     assert current is not None
-    rig.fleet.take_configuration(
+    rig.fleet.apply_configuration(
         replace(current, version=current.version + 1, organisations=organisations)
     )
 
@@ -176,7 +176,7 @@
 def make_check(clock: ManualClock) -> tuple[IdentityCheck, Authority]:
     fleet = Fleet()
     configuration = make_configuration(1, make_route())
-    fleet.take_configuration(replace(configuration, organisations=(ALPHA,)))
+    fleet.apply_configuration(replace(configuration, organisations=(ALPHA,)))
     authority = Authority(BOUND, clock)
     return IdentityCheck(fleet, authority), authority
 
@@ -184,10 +184,10 @@
 def test_an_unknown_key_is_refused_for_good_only_by_who_knows() -> None:
     clock = ManualClock()
     check, authority = make_check(clock)
-    authority.note(clock.now)
+    authority.record(clock.now)
     with pytest.raises(Refused) as known:
         check.identify(["new"], make_route())
-    clock.now += FRESH + 0.1
+    clock.now += FRESHNESS_LIMIT + 0.1
     with pytest.raises(Refused) as stale:
         check.identify(["new"], make_route())
     assert (known.value.status, stale.value.status) == (401, 503)
@@ -197,7 +197,7 @@
 def test_all_being_cut_off_daemons_stay_ready() -> None:
     clock = ManualClock()
     check, authority = make_check(clock)
-    authority.note(clock.now - BOUND)
+    authority.record(clock.now - BOUND)
     assert check.is_alone
     check.hears_leader = True
     assert not check.is_alone
@@ -206,10 +206,10 @@
 def test_a_configuration_that_names_nobody_any_more_asks_for_no_key() -> None:
     clock = ManualClock()
     check, authority = make_check(clock)
-    authority.note(clock.now)
+    authority.record(clock.now)
     caller = check.identify(["key-a"], make_route())
     assert caller is not None
-    check._fleet.take_configuration(make_configuration(2, make_route()))
+    check._fleet.apply_configuration(make_configuration(2, make_route()))
     check.check_again(caller)
     assert check.identify([], make_route()) is None
 
@@ -231,18 +231,18 @@
 def test_a_word_is_believed_up_to_the_bound() -> None:
     clock = ManualClock()
     authority = Authority(BOUND, clock)
-    assert not authority.holds
-    authority.note(100.0)
-    clock.now = 100.0 + BOUND - MARGIN - 0.01
-    assert authority.holds
+    assert not authority.is_valid
+    authority.record(100.0)
+    clock.now = 100.0 + BOUND - DRIFT_MARGIN - 0.01
+    assert authority.is_valid
     clock.now += 0.02
-    assert not authority.holds
+    assert not authority.is_valid
 
 
 def test_an_older_proof_changes_nothing() -> None:
     authority = Authority(BOUND, ManualClock())
-    authority.note(100.0)
-    authority.note(98.0)
+    authority.record(100.0)
+    authority.record(98.0)
     assert authority.as_of == 100.0
 
 
@@ -289,14 +289,14 @@
     authority = Authority(BOUND, clock)
     await make_reader(SlowStore(clock, 1.2), authority, lambda _: True).read()
     assert authority.as_of == 100.0
-    assert authority.find_age() == pytest.approx(1.2)
+    assert authority.compute_age() == pytest.approx(1.2)
 
 
 async def test_what_could_not_be_put_in_force_proves_nothing() -> None:
     clock = ManualClock()
     authority = Authority(BOUND, clock)
     await make_reader(SlowStore(clock, 0.0), authority, lambda _: False).read()
-    assert not authority.holds
+    assert not authority.is_valid
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -9,19 +9,18 @@
 import pytest
 from thriftpy2 import load
 
-from kestreltally.entry.fullness import EMPTY, Fullness
+from kestreltally.entry.occupancy import EMPTY, Fullness
 from kestreltally.fleet.model import Endpoint, EndpointId, RequestKind, WeightsKey
 from kestreltally.fleet.tables import Fleet, RouteTable
 from kestreltally.knowledge import structs
 from kestreltally.knowledge.feed import (
-    COUNTS_GAP,
-    UNSENT_FOR,
-    UNSENT_MOST,
+    MAX_UNSENT_BYTES,
+    MIN_TOTALS_INTERVAL,
+    UNSENT_TIMEOUT,
     FeedServer,
     Peer,
-    differs_notably,
+    differs_significantly,
 )
-from kestreltally.knowledge.followers import LAPSE_PATIENCE, EndpointsFollower
 from kestreltally.knowledge.frames import FrameStream, MalformedFrame
 from kestreltally.knowledge.idl import IDL_PATH
 from kestreltally.knowledge.rows import (
@@ -32,6 +31,7 @@
 )
 from kestreltally.knowledge.structs import Report, Update
 from kestreltally.knowledge.updates import LeaderState, LedDataCentre
+from kestreltally.knowledge.watch_handlers import EXPIRY_GRACE_PERIOD, EndpointsHandler
 from kestreltally.platform.documents import (
     MalformedDocument,
     decode_configuration,
@@ -98,7 +98,7 @@
     )
 
 
-def test_a_configuration_is_decoded_into_our_words() -> None:
+def test_configuration_is_decoded_into_model() -> None:
     decoded = decode_configuration(CONFIGURATION)
     route = decoded.routes[0]
     assert (decoded.version, route.kind, route.timeout) == (7, RequestKind.STREAM, 6.0)
@@ -108,13 +108,13 @@
 
 
 @pytest.mark.parametrize("missing", ["Version", "Routes", "Services", "Limits"])
-def test_a_configuration_without_a_part_is_left_out(missing: str) -> None:
+def test_configuration_without_required_part_is_rejected(missing: str) -> None:
     document = {k: v for k, v in CONFIGURATION.items() if k != missing}
     with pytest.raises(MalformedDocument, match=missing):
         decode_configuration(document)
 
 
-def test_an_entry_and_a_report_tell_what_an_engine_holds() -> None:
+def test_entry_and_report_list_weights_of_engine() -> None:
     entry = decode_entry("i-1", ENTRY)
     assert entry.weights == {WeightsKey("base"): 1, WeightsKey("base", "a1"): 4}
     report = decode_report(
@@ -128,7 +128,7 @@
     assert version == (WeightsKey("base", "a1"), 5)
 
 
-def test_the_longest_prefix_decides() -> None:
+def test_longest_prefix_matches() -> None:
     table = RouteTable.build(
         make_route(prefix=prefix) for prefix in ("/", "/a/", "/a/b/")
     )
@@ -141,69 +141,69 @@
     assert table.find("other.example", "/a/") is None
 
 
-class LapseRig:
-    """An endpoints' follower whose store was away until ``returned_at``."""
+class ExpiryRig:
+    """An endpoints' follower whose store was away until ``recovered_at``."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
-        self.returned_at = float("-inf")
+        self.recovered_at = float("-inf")
         self.known: dict[EndpointId, Endpoint] = {}
-        self.follower = EndpointsFollower(
+        self.follower = EndpointsHandler(
             lambda endpoint: self.known.__setitem__(endpoint.id, endpoint),
             lambda endpoint: self.known.__delitem__(endpoint),
             self.clock,
-            lambda: self.returned_at,
+            lambda: self.recovered_at,
         )
         self.put()
 
     def put(self, **changes: Any) -> None:
         stored = StoredObject("i-1", 1, {**ENTRY, **changes})
-        self.follower.take_changes(Changes((Change(stored, False),), 1))
+        self.follower.apply_changes(Changes((Change(stored, False),), 1))
 
     def delete(self) -> None:
         stored = StoredObject("i-1", 2, ENTRY)
-        self.follower.take_changes(Changes((Change(stored, True),), 2))
+        self.follower.apply_changes(Changes((Change(stored, True),), 2))
 
 
-def test_a_deleted_entry_is_gone_at_once() -> None:
-    rig = LapseRig()
+def test_deleted_entry_is_removed_at_once() -> None:
+    rig = ExpiryRig()
     rig.delete()
     assert not rig.known
 
 
-def test_an_entry_that_lapsed_with_the_store_away_may_come_back() -> None:
-    rig = LapseRig()
-    rig.returned_at = rig.clock.now
-    rig.follower.take_listing(Listing((), 3))
+def test_entry_that_expired_during_store_outage_can_return() -> None:
+    rig = ExpiryRig()
+    rig.recovered_at = rig.clock.now
+    rig.follower.apply_listing(Listing((), 3))
     assert rig.known
     rig.clock.now += 1.0
     rig.put()
     rig.clock.now += 10.0
-    rig.follower.drop_lapsed()
+    rig.follower.drop_expired()
     assert rig.known
 
 
-def test_patience_counts_from_the_stores_return_not_from_the_deletion() -> None:
+def test_grace_period_starts_at_store_recovery_not_at_deletion() -> None:
     # trouble-1 of dala-points: gone 1.5 s after the return, used 2.1 s longer.
-    rig = LapseRig()
-    rig.returned_at = rig.clock.now
-    rig.clock.now += LAPSE_PATIENCE - 0.5
+    rig = ExpiryRig()
+    rig.recovered_at = rig.clock.now
+    rig.clock.now += EXPIRY_GRACE_PERIOD - 0.5
     rig.delete()
     assert rig.known
     rig.clock.now += 0.6
-    rig.follower.drop_lapsed()
+    rig.follower.drop_expired()
     assert not rig.known
 
 
-def test_a_leaving_endpoint_is_gone_without_patience() -> None:
-    rig = LapseRig()
+def test_leaving_endpoint_has_no_grace_period() -> None:
+    rig = ExpiryRig()
     rig.put(State="draining")
-    rig.returned_at = rig.clock.now
+    rig.recovered_at = rig.clock.now
     rig.delete()
     assert not rig.known
 
 
-def test_rows_and_changes_cross_the_feed() -> None:
+def test_rows_and_changes_round_trip() -> None:
     before = make_endpoint("e1")
     other = WeightsKey("base", "a2")
     after = replace(before, weights={other: 3}, loading=frozenset({KEY}))
@@ -239,7 +239,7 @@
         self.feed = FeedServer(
             self.make_state, lambda: self.rows, dict, lambda _: None, self.clock
         )
-        self.feed.measure_own = lambda: EMPTY
+        self.feed.measure_local = lambda: EMPTY
         self.stream = FakeStream()
         self.peer = Peer(self.stream, vm="other")  # type: ignore[arg-type]
         self.feed._peers.add(self.peer)
@@ -253,7 +253,7 @@
         return self.stream.sent[-1]
 
 
-def test_a_follower_hears_of_all_endpoints_and_then_of_changes_only() -> None:
+def test_follower_gets_all_endpoints_then_changes_only() -> None:
     rig = FeedRig()
     first = rig.update()
     assert first.whole and {row.id for row in first.rows} == {"n1", "s1"}
@@ -266,31 +266,31 @@
     assert rig.update().gone == ["n1"]
 
 
-def test_a_long_prompt_is_told_between_the_regular_updates() -> None:
+def test_long_prompt_is_sent_between_regular_updates() -> None:
     # quiet-1 of the radar tiles' days: counts were 0.2 to 0.4 s old, and a long prompt
     # is read for 0.24 s.
     rig = FeedRig()
     rig.clock.now = 5.0
     assert rig.update().unread == {}
-    rig.feed.measure_own = lambda: Fullness({}, {EndpointId("n1"): 9_000})
-    rig.clock.now += COUNTS_GAP / 2
+    rig.feed.measure_local = lambda: Fullness({}, {EndpointId("n1"): 9_000})
+    rig.clock.now += MIN_TOTALS_INTERVAL / 2
     assert rig.update().unread is None
-    rig.feed.hurry_counts()
+    rig.feed.expedite_totals()
     assert rig.update().unread is None
-    rig.clock.now += COUNTS_GAP
+    rig.clock.now += MIN_TOTALS_INTERVAL
     assert rig.update().unread == {"n1": 9_000}
 
 
-@pytest.mark.parametrize(("tokens", "notable"), [(100, False), (9_000, True)])
-def test_only_what_takes_long_to_read_is_told_at_once(
-    tokens: int, notable: bool
+@pytest.mark.parametrize(("tokens", "significant"), [(100, False), (9_000, True)])
+def test_only_many_unread_tokens_are_significant(
+    tokens: int, significant: bool
 ) -> None:
     before = Fullness({}, {EndpointId("n1"): 20_000})
     after = Fullness({}, {EndpointId("n1"): 20_000 - tokens})
-    assert differs_notably(before, after) is notable
+    assert differs_significantly(before, after) is significant
 
 
-async def test_a_daemon_that_does_not_lead_rests_between_updates() -> None:
+async def test_daemon_that_does_not_lead_uses_little_cpu() -> None:
     rig = FeedRig()
     rig.feed._state = lambda: LeaderState("me", (), (), {}, 0.0, 0.0, 0, b"{}")
     rig.feed._clock = asyncio.get_running_loop().time
@@ -301,16 +301,16 @@
     assert time.process_time() - before < 0.5
 
 
-def test_when_followers_read_the_store_is_known_to_their_leader() -> None:
+def test_leader_knows_when_followers_read_the_store() -> None:
     rig = FeedRig()
     rig.clock.now = 50.0
     report = Report(vm="other", store_age=60.0, read_age=0.3)
-    rig.feed._note_report(rig.peer, report)
-    assert rig.feed.find_store_read_at() == pytest.approx(49.7)
-    assert rig.feed.find_store_answered_at() == pytest.approx(-10.0)
+    rig.feed._record_report(rig.peer, report)
+    assert rig.feed.get_store_read_at() == pytest.approx(49.7)
+    assert rig.feed.get_store_answered_at() == pytest.approx(-10.0)
 
 
-def test_a_follower_that_becomes_a_leader_is_not_told_that_others_are_gone() -> None:
+def test_follower_that_becomes_leader_gets_no_removals() -> None:
     # quiet-1 of dala-points: a new leader forgot all plain endpoints elsewhere.
     rig = FeedRig()
     rig.update()
@@ -318,12 +318,12 @@
     assert rig.update().gone == []
 
 
-def test_a_follower_that_is_slow_to_read_is_told_the_latest_only() -> None:
+def test_slow_follower_gets_latest_state_only() -> None:
     # trouble-1 of the grown ondalunga-catchup: on a thin link each change was queued
     # behind those before, and daemons acted upon configurations seconds old.
     rig = FeedRig()
     rig.update()
-    rig.stream.unsent = UNSENT_MOST + 1
+    rig.stream.unsent = MAX_UNSENT_BYTES + 1
     for version in range(1, 50):
         rig.rows[EndpointId("n1")] = replace(
             make_endpoint("n1"), weights={KEY: version}
@@ -333,14 +333,14 @@
     rig.stream.unsent = 0
     change = rig.update().changes[0]
     assert [row.version for row in change.put] == [49]
-    rig.stream.unsent = UNSENT_MOST + 1
+    rig.stream.unsent = MAX_UNSENT_BYTES + 1
     rig.feed.send_all()
-    rig.clock.now += UNSENT_FOR + 0.1
+    rig.clock.now += UNSENT_TIMEOUT + 0.1
     rig.feed.send_all()
     assert rig.stream.aborted
 
 
-def test_a_configuration_is_sent_once_until_it_must_have_come() -> None:
+def test_configuration_is_sent_again_only_after_retry_interval() -> None:
     rig = FeedRig()
     rig.version = 5
     rig.peer.configuration = 4
@@ -353,7 +353,7 @@
     assert not rig.update().configuration
 
 
-def test_another_leader_is_told_a_configuration_only_if_it_stays_behind() -> None:
+def test_other_leader_gets_configuration_only_if_it_lags() -> None:
     rig = FeedRig()
     rig.version = 5
     rig.peer.leads = frozenset({"south"})
@@ -362,7 +362,7 @@
     assert rig.update().configuration == b"{}"
 
 
-def test_weights_are_found_where_they_are_usable() -> None:
+def test_holders_are_endpoints_with_usable_weights() -> None:
     fleet = Fleet()
     fleet.put_endpoint(make_endpoint("e1"))
     fleet.put_endpoint(replace(make_endpoint("e2"), leaving=True))
@@ -386,7 +386,7 @@
         self.reader.feed_data(content)
 
 
-async def test_frames_are_read_as_they_were_written_and_repeat_for_little() -> None:
+async def test_frames_round_trip_and_compress_repetition() -> None:
     pipe = Pipe()
     stream = FrameStream(pipe.reader, pipe)  # type: ignore[arg-type]
     rows = [encode_endpoint(make_endpoint(f"i-{at:08x}")) for at in range(9)]
@@ -398,7 +398,7 @@
 
 
 @pytest.mark.parametrize("content", [b"\0\0\0\3abc", b"\xff\0\0\0"])
-async def test_bytes_that_are_no_frame_are_told(content: bytes) -> None:
+async def test_malformed_frames_are_rejected(content: bytes) -> None:
     pipe = Pipe()
     pipe.write(content)
     stream = FrameStream(pipe.reader, pipe)  # type: ignore[arg-type]
@@ -406,7 +406,7 @@
         await stream.receive(Update)
 
 
-def test_structs_are_those_of_the_idl() -> None:
+def test_structs_match_idl() -> None:
     # A daemon does not read the IDL: its start must not pay for a parser.
     read = load(str(IDL_PATH), module_name="feed_thrift").__thrift_meta__["structs"]
     assert [describe_struct(each) for each in read] == [
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -96,7 +96,7 @@
     empty = FakeEngine("e3", "north")
     empty.has_model = False
     rig.engines["e3"] = empty
-    empty.note(asyncio.get_running_loop().time())
+    empty.record(asyncio.get_running_loop().time())
     rig.leader.put_endpoint(make_engine_row(empty))
     await asyncio.sleep(2.0)
     assert empty.has_model
@@ -138,7 +138,7 @@
     name = next(name for name, each in rig.engines.items() if "a7" in each.held)
     rig.caller.unreachable.add(name)
     key = WeightsKey(MODEL, "a7")
-    rig.leader.note_refused(EndpointId(name), key)
+    rig.leader.record_refused(EndpointId(name), key)
     for _ in range(20):
         rig.ask(7)
         await asyncio.sleep(0.1)
@@ -223,7 +223,7 @@
     clock = asyncio.get_running_loop().time
     key = WeightsKey(MODEL, "a7")
     (holder,) = rig.fleet.list_holders(MODELS, key, clock())
-    rig.leader.soundness.note(Outcome(holder.id, whole=1, failed=4), clock())
+    rig.leader.soundness.record(Outcome(holder.id, whole=1, failed=4), clock())
     await asyncio.sleep(0.1)
     assert rig.fleet.list_holders(MODELS, key, clock()) == []
     rig.ask(7)
@@ -240,7 +240,7 @@
     await asyncio.sleep(0.5)
     for name in rig.engines:
         failed = Outcome(EndpointId(name), whole=0, failed=9)
-        rig.leader.soundness.note(failed, asyncio.get_running_loop().time())
+        rig.leader.soundness.record(failed, asyncio.get_running_loop().time())
     await asyncio.sleep(0.1)
     assert sum(each.spared for each in rig.fleet.endpoints.values()) == 1
     rig.close()
@@ -257,7 +257,7 @@
     clock = asyncio.get_running_loop().time
     key = WeightsKey(MODEL, "a7")
     (holder,) = rig.fleet.list_holders(MODELS, key, clock())
-    rig.fleet.notices.note(holder, Notice(leaves=True, rest=0.0), clock())
+    rig.fleet.notices.record(holder, Notice(leaves=True, rest=0.0), clock())
     rig.leader.note_notice(holder.id)
     assert rig.fleet.list_holders(MODELS, key, clock()) == []
     await asyncio.sleep(2 * LOAD_TIME)
@@ -273,7 +273,7 @@
     await asyncio.sleep(0.5)
     clock = asyncio.get_running_loop().time
     (engine,) = rig.fleet.endpoints.values()
-    rig.fleet.notices.note(engine, Notice(leaves=False, rest=3.0), clock())
+    rig.fleet.notices.record(engine, Notice(leaves=False, rest=3.0), clock())
     rig.ask(8)
     await asyncio.sleep(2.9)
     assert not rig.is_held(8)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -15,7 +15,7 @@
     VALIDITY,
     Lease,
 )
-from kestreltally.placing.leaseboard import READ_EVERY, LeaseBoard
+from kestreltally.placing.leaseboard import READ_INTERVAL, LeaseBoard
 from kestreltally.platform.store import (
     NO_ERA,
     Conflict,
@@ -178,7 +178,7 @@
     first = make_contender(FakeStore(), "a")
     first.start()
     took = await wait_until_ordering(first, 1.0)
-    assert took < TAKE_JITTER + READ_EVERY + 0.05
+    assert took < TAKE_JITTER + READ_INTERVAL + 0.05
     assert first.lease.fence == 1
 
 
--- a/tests/test_limit_table.py
+++ b/tests/test_limit_table.py
@@ -14,7 +14,7 @@
     LimitStanding,
 )
 from kestreltally.fleet.model import SILENT, EndpointId, KnownNotice, Notice
-from kestreltally.fleet.notices import FOR_EVER, KEPT_FOR, NoticeTable, NotWanted
+from kestreltally.fleet.notices import FOR_EVER, RETENTION, NoticeTable, NotWanted
 from kestreltally.placing.turns import Borrower, TurnLender, find_leased_terms
 from kestreltally.platform.headers import list_unread, read_notice
 from tests.limitsim import play
@@ -96,12 +96,12 @@
 def test_a_limit_that_changes_a_little_is_no_news() -> None:
     news: list[EndpointId] = []
     table = NoticeTable()
-    table.note_news = news.append
+    table.notify_change = news.append
     for number, limit in enumerate((2.9, 3.1, 2.7, 2.9)):
-        table.note(ENDPOINT, replace(LIMITED, limit=limit), NOW + number)
+        table.record(ENDPOINT, replace(LIMITED, limit=limit), NOW + number)
     assert len(news) == 1
-    table.note(ENDPOINT, replace(LIMITED, limit=1.0), NOW + 9)
-    table.note(ENDPOINT, SILENT, NOW + 10)
+    table.record(ENDPOINT, replace(LIMITED, limit=1.0), NOW + 9)
+    table.record(ENDPOINT, SILENT, NOW + 10)
     assert len(news) == 3
 
 
@@ -117,32 +117,32 @@
 
 def test_a_daemon_that_hears_the_end_tells_all_and_it_is_forgotten() -> None:
     first, second = NoticeTable(), NoticeTable()
-    first.note(ENDPOINT, LIMITED, NOW)
+    first.record(ENDPOINT, LIMITED, NOW)
     second.take_told(first.list_known(NOW), NOW)
     assert second.is_limited(ENDPOINT)
-    second.note(ENDPOINT, SILENT, NOW + 1)
+    second.record(ENDPOINT, SILENT, NOW + 1)
     for after in range(1, 70):
         # They tell each other all the time.
         first.take_told(second.list_known(NOW + after), NOW + after)
         second.take_told(first.list_known(NOW + after), NOW + after)
         assert not first.is_limited(ENDPOINT)
-        first.forget_old({ENDPOINT.id}, NOW + after)
-        second.forget_old({ENDPOINT.id}, NOW + after)
-    assert first.list_known(NOW + KEPT_FOR + 10) == []
-    assert second.list_known(NOW + KEPT_FOR + 10) == []
+        first.prune_old({ENDPOINT.id}, NOW + after)
+        second.prune_old({ENDPOINT.id}, NOW + after)
+    assert first.list_known(NOW + RETENTION + 10) == []
+    assert second.list_known(NOW + RETENTION + 10) == []
 
 
 def test_a_limit_in_force_is_kept_while_its_endpoint_is_listed() -> None:
     table = NoticeTable()
-    table.note(ENDPOINT, LIMITED, NOW)
+    table.record(ENDPOINT, LIMITED, NOW)
     for after in range(200):
-        table.forget_old({ENDPOINT.id}, NOW + after)
+        table.prune_old({ENDPOINT.id}, NOW + after)
     assert table.is_limited(ENDPOINT)
 
 
 def test_another_start_of_an_endpoint_has_no_limit() -> None:
     table = NoticeTable()
-    table.note(ENDPOINT, LIMITED, NOW)
+    table.record(ENDPOINT, LIMITED, NOW)
     assert table.find_rest(ENDPOINT, NOW) > 0
     assert table.find_rest(REBORN, NOW) == 0.0
     table.begin_send(REBORN, NOW)
@@ -151,7 +151,7 @@
 def test_leaving_rest_and_limit_hold_together() -> None:
     table = NoticeTable()
     table.find_lending = lambda _: HEARD
-    table.note(ENDPOINT, replace(RESTING, limit=2.0), NOW)
+    table.record(ENDPOINT, replace(RESTING, limit=2.0), NOW)
     limit = table.find_limit(ENDPOINT.id, ENDPOINT.born)
     assert limit is not None
     limit.turns.append(NOW + 60)
@@ -161,7 +161,7 @@
     # After the rest, one tries it, with its turn.
     assert table.begin_send(ENDPOINT, NOW + 3)
     assert limit.turns == []
-    table.note(ENDPOINT, replace(LEAVING, limit=2.0), NOW + 4)
+    table.record(ENDPOINT, replace(LEAVING, limit=2.0), NOW + 4)
     assert table.find_rest(ENDPOINT, NOW + 4) == FOR_EVER
     assert table.list_limits() == []
 
@@ -169,7 +169,7 @@
 def test_each_call_takes_a_turn_and_turns_end() -> None:
     table = NoticeTable()
     table.find_lending = lambda _: HEARD
-    table.note(ENDPOINT, LIMITED, NOW)
+    table.record(ENDPOINT, LIMITED, NOW)
     with pytest.raises(NotWanted):
         table.begin_send(ENDPOINT, NOW)
     limit = table.find_limit(ENDPOINT.id, ENDPOINT.born)
@@ -235,11 +235,11 @@
         self.lender = TurnLender(
             Borrower(), lambda _: self.borrowers, lambda *_: None, lambda: self.now
         )
-        self.lend()
+        self.issue()
 
-    def lend(self) -> float | None:
+    def issue(self) -> float | None:
         terms = find_leased_terms(self.limit.rate)
-        return self.lender.lend(E, 1, self.limit, terms)
+        return self.lender.issue(E, 1, self.limit, terms)
 
     def list_lent(self) -> list[int]:
         return [each.lent[E] for each in self.borrowers]
@@ -256,7 +256,7 @@
         # Time for one turn.
         while rig.list_lent() == before:
             rig.now += 0.05
-            rig.lend()
+            rig.issue()
         after = rig.list_lent()
         order.extend(n for n in range(3) for _ in range(after[n] - before[n]))
     assert order[:3] == [1, 0, 1] or order[:3] == [1, 1, 0]
@@ -269,12 +269,12 @@
     borrower.wanted = {E: {2: 2}}
     for _ in range(10):
         rig.now += 0.1
-        assert rig.lend() is None
+        assert rig.issue() is None
     assert borrower.lent[E] == 2
     # The next report knows of one, and that another request has come.
     borrower.wanted, borrower.received = {E: {2: 2}}, {E: 1}
     rig.now += 0.1
-    rig.lend()
+    rig.issue()
     assert borrower.lent[E] == 3
 
 
@@ -283,12 +283,12 @@
     assert rig.limit.wait == 0.0
     rig.borrowers[0].wanted = {E: {2: 20}}
     rig.now += 0.1
-    rig.lend()
+    rig.issue()
     assert 5.0 < rig.limit.wait < 12.0
     assert rig.limit.is_short()
     rig.borrowers[0].wanted = {E: {AHEAD: 3}}
     rig.now += 0.1
-    rig.lend()
+    rig.issue()
     assert not rig.limit.is_short()
 
 
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -47,10 +47,10 @@
 
 def test_a_report_of_a_newer_life_begins_the_book_anew() -> None:
     book = EngineBook(make_row(BORN))
-    book.take_report(make_report(BORN, 7, HELD), 1.0)
+    book.apply_report(make_report(BORN, 7, HELD), 1.0)
     book.begin_unload(WeightsKey(MODEL, "a1"), 1.1)
     # Its counts start anew: by its count alone it would be older than the last order.
-    book.take_report(make_report(BORN + 9, 0, {}), 2.0)
+    book.apply_report(make_report(BORN + 9, 0, {}), 2.0)
     assert (book.sequence, book.weights, book.leaving) == (0, {}, {})
     assert book.endpoint.born == BORN + 9
     assert not book.make_row().weights
@@ -58,8 +58,8 @@
 
 def test_a_late_report_of_an_earlier_life_says_nothing() -> None:
     book = EngineBook(make_row(BORN + 9))
-    book.take_report(make_report(BORN + 9, 0, {}), 1.0)
-    book.take_report(make_report(BORN, 7, HELD), 2.0)
+    book.apply_report(make_report(BORN + 9, 0, {}), 1.0)
+    book.apply_report(make_report(BORN, 7, HELD), 2.0)
     assert (book.sequence, book.weights) == (0, {})
 
 
--- a/tests/test_notice_table.py
+++ b/tests/test_notice_table.py
@@ -18,7 +18,7 @@
 )
 from kestreltally.fleet.notices import (
     FOR_EVER,
-    KEPT_FOR,
+    RETENTION,
     RISEN,
     TRIAL_MOST,
     NoticeTable,
@@ -86,10 +86,10 @@
 
 def test_leaving_ends_with_that_start_of_the_endpoint() -> None:
     table = NoticeTable()
-    table.note(ENDPOINT, LEAVING, NOW)
+    table.record(ENDPOINT, LEAVING, NOW)
     assert table.heed(ENDPOINT).leaving
     assert table.find_rest(ENDPOINT, NOW + 50) == FOR_EVER
-    table.note(ENDPOINT, SILENT, NOW + 1)
+    table.record(ENDPOINT, SILENT, NOW + 1)
     assert table.heed(ENDPOINT).leaving
     assert not table.heed(REBORN).leaving
     assert table.find_rest(REBORN, NOW) == 0.0
@@ -97,16 +97,16 @@
 
 def test_a_late_answer_of_an_earlier_start_says_nothing_of_the_newer() -> None:
     table = NoticeTable()
-    table.note(REBORN, RESTING, NOW)
-    table.note(ENDPOINT, LEAVING, NOW + 1)
+    table.record(REBORN, RESTING, NOW)
+    table.record(ENDPOINT, LEAVING, NOW + 1)
     assert not table.heed(REBORN).leaving
     assert table.find_rest(REBORN, NOW + 1) == 2.0
 
 
 def test_nothing_leaves_for_an_endpoint_that_rests_and_one_tries_it_then() -> None:
     table = NoticeTable()
-    table.note(ENDPOINT, RESTING, NOW)
-    table.note(ENDPOINT, replace(RESTING, rest=1.0), NOW + 0.5)
+    table.record(ENDPOINT, RESTING, NOW)
+    table.record(ENDPOINT, replace(RESTING, rest=1.0), NOW + 0.5)
     for after in (0.0, 1.6, 2.9):
         with pytest.raises(NotWanted):
             table.begin_send(ENDPOINT, NOW + after)
@@ -115,7 +115,7 @@
         table.begin_send(ENDPOINT, NOW + 3.1)
     # With each answer one more may be under way, until nobody counts any more.
     for allowed in range(2, RISEN):
-        table.note(ENDPOINT, SILENT, NOW + 3.2)
+        table.record(ENDPOINT, SILENT, NOW + 3.2)
         table.end_trial(ENDPOINT)
         sent = 0
         while table.find_rest(ENDPOINT, NOW + 3.2) == 0.0:
@@ -124,14 +124,14 @@
         assert sent == allowed
         for _ in range(sent - 1):
             table.end_trial(ENDPOINT)
-    table.note(ENDPOINT, SILENT, NOW + 3.2)
+    table.record(ENDPOINT, SILENT, NOW + 3.2)
     assert table.begin_send(ENDPOINT, NOW + 3.2) is False
     assert not table.begin_send(ENDPOINT, NOW + 3.2)
 
 
 def test_a_trial_that_gets_no_answer_is_followed_by_another() -> None:
     table = NoticeTable()
-    table.note(ENDPOINT, RESTING, NOW)
+    table.record(ENDPOINT, RESTING, NOW)
     assert table.begin_send(ENDPOINT, NOW + 3.0)
     assert table.find_rest(ENDPOINT, NOW + 3.1) > 0
     assert table.begin_send(ENDPOINT, NOW + 3.0 + TRIAL_MOST)
@@ -141,8 +141,8 @@
 
 def test_an_answer_to_what_was_sent_before_does_not_end_a_rest() -> None:
     table = NoticeTable()
-    table.note(ENDPOINT, RESTING, NOW)
-    table.note(ENDPOINT, SILENT, NOW + 0.2)
+    table.record(ENDPOINT, RESTING, NOW)
+    table.record(ENDPOINT, SILENT, NOW + 0.2)
     assert table.find_rest(ENDPOINT, NOW + 0.2) == pytest.approx(2.8)
 
 
@@ -160,8 +160,8 @@
 def test_that_an_endpoint_leaves_is_told_on_and_news_once() -> None:
     news: list[EndpointId] = []
     first, second = NoticeTable(), NoticeTable()
-    second.note_news = news.append
-    first.note(ENDPOINT, LEAVING, NOW)
+    second.notify_change = news.append
+    first.record(ENDPOINT, LEAVING, NOW)
     for _ in range(3):
         second.take_told(first.list_known(NOW), NOW)
     assert second.heed(ENDPOINT).leaving
@@ -171,12 +171,12 @@
 
 def test_what_is_over_is_forgotten() -> None:
     table = NoticeTable()
-    table.note(ENDPOINT, RESTING, NOW)
-    table.note(REBORN, LEAVING, NOW)
+    table.record(ENDPOINT, RESTING, NOW)
+    table.record(REBORN, LEAVING, NOW)
     for after in range(200):
-        table.forget_old({ENDPOINT.id}, NOW + after)
+        table.prune_old({ENDPOINT.id}, NOW + after)
     assert table.list_known(NOW + 200)
-    table.forget_old((), NOW + 200 + KEPT_FOR)
+    table.prune_old((), NOW + 200 + RETENTION)
     assert table.list_known(NOW + 200) == []
 
 
@@ -190,11 +190,11 @@
         now += random.choice([0.0, 0.01, 0.1, 0.7])
         if random.random() < 0.2:
             rest = random.choice([0.2, 1.0, 3.0])
-            table.note(ENDPOINT, Notice(leaves=False, rest=rest), now)
+            table.record(ENDPOINT, Notice(leaves=False, rest=rest), now)
             rests_until, asleep = max(rests_until, now + rest), True
             answers = 0
         elif random.random() < 0.5:
-            table.note(ENDPOINT, SILENT, now)
+            table.record(ENDPOINT, SILENT, now)
             if asleep and now >= rests_until:
                 answers += 1
                 asleep = 1 + answers < RISEN
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -114,53 +114,53 @@
 
 def test_words_name_only_who_is_near_the_limit() -> None:
     ledger = make_ledger()
-    ledger.make_words(100.0)
-    ledger.note([Spending(NAME, 150, 150)], now=100.0)
-    assert ledger.make_words(100.0) == []
-    ledger.note([Spending(NAME, 4_350, 4_350)], now=100.0)
-    (word,) = ledger.make_words(100.0)
+    ledger.make_throttles(100.0)
+    ledger.record([Spending(NAME, 150, 150)], now=100.0)
+    assert ledger.make_throttles(100.0) == []
+    ledger.record([Spending(NAME, 4_350, 4_350)], now=100.0)
+    (word,) = ledger.make_throttles(100.0)
     assert word.ratio < 0.2
     assert word.wait == pytest.approx((4_500 - FREE_PART * 1_000) / 1_000)
     # It has drained by then, as was told.
-    assert all(w.ratio == 1.0 for w in ledger.make_words(100.0 + word.wait + 0.01))
+    assert all(w.ratio == 1.0 for w in ledger.make_throttles(100.0 + word.wait + 0.01))
 
 
 def test_all_that_ask_are_named_now_and_then() -> None:
     # Daemons that lose the leaders' word then know their part of what is asked for.
     ledger = make_ledger()
-    ledger.note([Spending(NAME, 100, 100)], now=100.0)
-    (word,) = ledger.make_words(100.0)
+    ledger.record([Spending(NAME, 100, 100)], now=100.0)
+    (word,) = ledger.make_throttles(100.0)
     assert word.ratio == 1.0
     assert word.asked > 0
-    assert ledger.make_words(100.2) == []
-    assert ledger.make_words(101.1) != []
+    assert ledger.make_throttles(100.2) == []
+    assert ledger.make_throttles(101.1) != []
 
 
 def test_daemons_that_are_missed_are_taken_to_spend_their_share() -> None:
     ledger = make_ledger()
-    ledger.note_daemons(10, now=100.0)
-    ledger.note([Spending(NAME, 4_500, 4_500)], now=100.0)
-    (whole,) = ledger.make_words(100.0)
-    ledger.note_daemons(5, now=100.0)
-    (half,) = ledger.make_words(100.0)
+    ledger.record_daemon_count(10, now=100.0)
+    ledger.record([Spending(NAME, 4_500, 4_500)], now=100.0)
+    (whole,) = ledger.make_throttles(100.0)
+    ledger.record_daemon_count(5, now=100.0)
+    (half,) = ledger.make_throttles(100.0)
     assert half.wait > 1.9 * whole.wait
     # In time they are gone for good.
     for second in range(120):
-        ledger.note_daemons(5, now=100.0 + second)
-    ledger.note([Spending(NAME, 4_500, 4_500)], now=219.0)
-    (later,) = ledger.make_words(219.0)
+        ledger.record_daemon_count(5, now=100.0 + second)
+    ledger.record([Spending(NAME, 4_500, 4_500)], now=219.0)
+    (later,) = ledger.make_throttles(219.0)
     assert later.wait < 1.1 * whole.wait
 
 
 def test_daemons_counted_twice_for_a_moment_make_none_missing() -> None:
     ledger = make_ledger()
     for tenth in range(200):
-        ledger.note_daemons(10, now=100.0 + tenth / 10)
+        ledger.record_daemon_count(10, now=100.0 + tenth / 10)
     for tenth in range(20):
-        ledger.note_daemons(20, now=120.0 + tenth / 10)
-    ledger.note_daemons(10, now=122.0)
-    ledger.note([Spending(NAME, 4_500, 4_500)], now=122.0)
-    (word,) = ledger.make_words(122.0)
+        ledger.record_daemon_count(20, now=120.0 + tenth / 10)
+    ledger.record_daemon_count(10, now=122.0)
+    ledger.record([Spending(NAME, 4_500, 4_500)], now=122.0)
+    (word,) = ledger.make_throttles(122.0)
     assert word.wait < 1.2 * 4_500 / 1_000
 
 
@@ -179,17 +179,17 @@
 
 def test_a_raised_limit_is_there_at_once() -> None:
     ledger = make_ledger()
-    ledger.note([Spending(NAME, 2_000, 2_000)], now=100.0)
+    ledger.record([Spending(NAME, 2_000, 2_000)], now=100.0)
     raised = Quota(QuotaUnit.TOKENS, 50_000.0, 50_000.0, 200)
     ledger.take_organisations([Organisation(NAME, ("k",), None, raised)])
-    assert all(word.ratio == 1.0 for word in ledger.make_words(100.0))
+    assert all(word.ratio == 1.0 for word in ledger.make_throttles(100.0))
 
 
 def test_an_organisation_without_a_quota_has_no_account() -> None:
     ledger = Ledger(BOUNDS)
     ledger.take_organisations([Organisation(NAME, ("k",))])
-    ledger.note([Spending(NAME, 10**9, 10**9)], now=100.0)
-    assert ledger.make_words(100.0) == []
+    ledger.record([Spending(NAME, 10**9, 10**9)], now=100.0)
+    assert ledger.make_throttles(100.0) == []
 
 
 @pytest.mark.parametrize("way", sorted(LIMITERS))
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -53,7 +53,7 @@
 def make_register(facts: list[Fact]) -> tuple[PoisonRegister, Clock]:
     clock = Clock()
     register = PoisonRegister(clock)
-    register.note_told(facts)
+    register.record_reported(facts)
     return register, clock
 
 
@@ -63,7 +63,7 @@
     before = COUNTS[Decision.POISON_SUSPECTED]
     for fact in see_ends("x", 2):
         witness.note_own([fact])
-        other.note_told([fact])
+        other.record_reported([fact])
     assert COUNTS[Decision.POISON_SUSPECTED] == before + 1
 
 
@@ -75,7 +75,7 @@
 def test_three_ends_one_after_another_stop_a_request_for_a_true_time() -> None:
     register, clock = make_register(see_ends("bad", 2))
     assert register.find_block(name("bad").digest) is None
-    register.note_told(see_ends("bad"))
+    register.record_reported(see_ends("bad"))
     held = register.find_block(name("bad").digest)
     assert held is not None and not held.settled
     assert held.wait == pytest.approx(SETTLE)
@@ -87,7 +87,7 @@
     clock.now += 0.02
     assert register.find_block(name("bad").digest) is None
     # It may run then; if it ends one more engine it is stopped for twice as long.
-    register.note_told([see("bad", "e9", clock.now, clock.now + 0.1)])
+    register.record_reported([see("bad", "e9", clock.now, clock.now + 0.1)])
     clock.now += 0.1 + SETTLE
     again = register.find_block(name("bad").digest)
     assert again is not None and again.settled
@@ -123,9 +123,9 @@
     register, clock = make_register([*see_ends("hot")])
     clock.now += SETTLE
     assert is_stopped(register, "hot")
-    register.note_told([make_clearing(name("hot"), 995.0)])
+    register.record_reported([make_clearing(name("hot"), 995.0)])
     assert register.find_block(name("hot").digest) is None
-    register.note_told(
+    register.record_reported(
         [
             see("hot", f"f{number}", 996.0 + number, 996.1 + number)
             for number in range(3)
@@ -199,11 +199,11 @@
     assert is_stopped(register, "bad")
     flood = 2 * SIGHTINGS_MOST
     for number in range(flood):
-        register.note_told([see(f"odd{number}", f"x{number}", 1000.0, 1000.1)])
+        register.record_reported([see(f"odd{number}", f"x{number}", 1000.0, 1000.1)])
     assert is_stopped(register, "bad")
     assert register.count()["suspected"] <= SIGHTINGS_MOST
     clock.now += MEMORY
-    register.forget_old()
+    register.prune_old()
     assert register.count() == {"suspected": 0.0, "stopped": 0.0}
 
 
--- a/tests/test_soundness.py
+++ b/tests/test_soundness.py
@@ -26,13 +26,13 @@
 )
 def test_most_requests_must_have_failed(whole: int, failed: int, suspect: bool) -> None:
     table = SoundnessTable()
-    table.note(Outcome(NAME, whole, failed), 10.0)
+    table.record(Outcome(NAME, whole, failed), 10.0)
     assert table.is_suspect(NAME, 10.1) is suspect
 
 
 def test_what_happened_long_ago_hardly_counts() -> None:
     table = SoundnessTable()
-    table.note(Outcome(NAME, 0, 3), 10.0)
+    table.record(Outcome(NAME, 0, 3), 10.0)
     assert not table.is_suspect(NAME, 11.0)
 
 
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -19,13 +19,13 @@
 """
 
 
-def test_settings_that_change_during_the_start_do_not_end_the_daemon() -> None:
+def test_sighup_during_start_does_not_end_daemon() -> None:
     # Fault soak, seed 111: SIGHUP reached a daemon that had just been started.
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", PROGRAM],
         capture_output=True,
         text=True,
         check=True,
         env={**os.environ, "PYTHONPATH": str(SOURCES)},
     )
-    assert done.stdout.strip() == signal.Handlers.SIG_IGN.name
+    assert result.stdout.strip() == signal.Handlers.SIG_IGN.name
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -32,7 +32,7 @@
         ({"Store-Era": "²"}, None),
     ],
 )
-def test_the_era_of_an_answer_is_read(headers: dict[str, str], era: Any) -> None:
+def test_era_of_response_is_parsed(headers: dict[str, str], era: Any) -> None:
     assert read_era(headers) == era
 
 
@@ -54,11 +54,11 @@
         await self._runner.cleanup()
 
 
-async def test_no_condition_of_an_older_era_is_sent() -> None:
+async def test_condition_of_older_era_is_not_sent() -> None:
     async with StoreRig() as rig:
         mine = await rig.client.create("k", "n", {"by": "me"})
-        kept = rig.server.copy()
-        await rig.server.restore(kept)
+        backup = rig.server.copy()
+        await rig.server.restore(backup)
         assert await rig.client.read("k", "n")
         assert rig.client.copied_at > 0
         calls = rig.client.calls
@@ -69,23 +69,23 @@
         assert rig.client.calls == calls
 
 
-async def test_a_write_that_meets_anothers_object_does_not_count() -> None:
+async def test_write_over_another_object_is_rejected() -> None:
     async with StoreRig() as rig:
         await rig.client.create("k", "other", {})
-        kept = rig.server.copy()
+        backup = rig.server.copy()
         mine = await rig.client.create("k", "n", {"by": "me"})
         # The number is given out again, for another's object of the same name.
-        await rig.server.restore(kept)
+        await rig.server.restore(backup)
         await rig.server.put("k", "n", {"by": "another"})
         with pytest.raises(EraPassed):
             await rig.client.replace("k", "n", mine.revision, {"by": "me"})
 
 
-async def test_a_conflict_names_a_revision_of_the_new_era() -> None:
+async def test_conflict_reports_revision_of_new_era() -> None:
     async with StoreRig() as rig:
-        kept = rig.server.copy()
+        backup = rig.server.copy()
         mine = await rig.client.create("k", "n", {"by": "me"})
-        await rig.server.restore(kept)
+        await rig.server.restore(backup)
         for number in range(3):
             await rig.server.put("k", "n", {"by": number})
         with pytest.raises(Conflict) as caught:
@@ -94,7 +94,7 @@
         assert caught.value.current.revision.era == mine.revision.era + 1
 
 
-async def test_the_first_return_is_noticed() -> None:
+async def test_first_restore_is_detected() -> None:
     # Eras begin with 0, which is one like any other.
     async with StoreRig() as rig:
         await rig.client.list_objects("k")
@@ -106,7 +106,7 @@
         assert rig.client.copied_at > 0
 
 
-async def test_a_late_answer_of_an_older_era_is_none() -> None:
+async def test_late_response_of_older_era_is_rejected() -> None:
     async with StoreRig() as rig:
         await rig.client.list_objects("k")
         rig.server.era += 1
@@ -116,7 +116,7 @@
             await rig.client.list_objects("k")
 
 
-async def test_a_store_that_tells_no_era_is_one_that_loses_nothing() -> None:
+async def test_store_without_eras_is_never_restored() -> None:
     async with StoreRig() as rig:
         rig.server.era = -1
         written = await rig.client.create("k", "n", {})
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -15,29 +15,29 @@
 from kestreltally.knowledge.authority import Authority
 from tests.test_lease import FakeStore, make_contender, wait_until_ordering
 
-SUSPENDED = 8.0
+SUSPENSION = 8.0
 
 
 @pytest.fixture
 def suspend(monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
     """Return what has the machine suspended, as the system's clocks show it."""
     real = time.clock_gettime
-    passed = [0.0]
+    suspended_for = [0.0]
 
     def read(clock: int) -> float:
-        return real(clock) + (passed[0] if clock == time.CLOCK_BOOTTIME else 0.0)
+        return real(clock) + (suspended_for[0] if clock == time.CLOCK_BOOTTIME else 0.0)
 
-    def begin() -> None:
-        passed[0] += SUSPENDED
+    def suspend_machine() -> None:
+        suspended_for[0] += SUSPENSION
 
     monkeypatch.setattr(time, "clock_gettime", read)
-    return begin
+    return suspend_machine
 
 
-def test_a_lease_is_not_believed_after_a_suspension(
+def test_lease_expires_during_suspension(
     suspend: Callable[[], None],
 ) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         holder = make_contender(FakeStore(), "a")
         holder.start()
         await wait_until_ordering(holder, 2.0)
@@ -45,40 +45,40 @@
         assert not holder.lease.may_order()
         holder.kill()
 
-    run_with_suspensions(play())
+    run_with_suspensions(run_scenario())
 
 
-def test_the_word_on_keys_is_as_old_as_it_is_after_a_suspension(
+def test_configuration_age_includes_suspension(
     suspend: Callable[[], None],
 ) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         clock = asyncio.get_running_loop().time
         authority = Authority(5.0, clock)
-        authority.note(clock())
-        assert authority.holds
+        authority.record(clock())
+        assert authority.is_valid
         suspend()
-        assert not authority.holds and authority.find_age() >= SUSPENDED
+        assert not authority.is_valid and authority.compute_age() >= SUSPENSION
 
-    run_with_suspensions(play())
+    run_with_suspensions(run_scenario())
 
 
-def test_a_request_in_hand_ends_by_its_time_after_a_suspension(
+def test_request_deadline_includes_suspension(
     suspend: Callable[[], None],
 ) -> None:
-    async def play() -> None:
+    async def run_scenario() -> None:
         loop = asyncio.get_running_loop()
-        began = time.monotonic()
+        started_at = time.monotonic()
         with pytest.raises(TimeoutError):
             async with asyncio.timeout_at(loop.time() + 5.0):
                 loop.call_later(0.05, suspend)
                 while True:
                     await asyncio.sleep(0.02)
-        assert time.monotonic() - began < 1.0
+        assert time.monotonic() - started_at < 1.0
 
-    run_with_suspensions(play())
+    run_with_suspensions(run_scenario())
 
 
-def test_daemons_run_on_that_clock() -> None:
+def test_daemons_use_boot_time_clock() -> None:
     async def read() -> float:
         return asyncio.get_running_loop().time() - time.clock_gettime(
             time.CLOCK_BOOTTIME
--- a/tests/test_departures.py
+++ b/tests/test_tombstones.py
@@ -9,19 +9,19 @@
 
 import pytest
 
-from kestreltally.knowledge.departures import KEPT_FOR, Departures
+from kestreltally.knowledge.tombstones import RETENTION, Tombstones
 from tests.ports import reserve_port
 from tests.test_fleet_daemon import run_fleet
 from tests.test_knowledge import make_endpoint
 
-GONE = replace(make_endpoint("e1"), born=7)
+REMOVED = replace(make_endpoint("e1"), born=7)
 # The operators' bound, from the store's answer on.
-LEFT_ALONE_WITHIN = 2.0
+DRAIN_BOUND = 2.0
 
 
-@pytest.mark.parametrize("who", ["south-1", "north-2"])
-async def test_a_leader_without_the_store_brings_no_gone_endpoint_back(
-    who: str,
+@pytest.mark.parametrize("reconnecting_vm", ["south-1", "north-2"])
+async def test_leader_without_store_does_not_restore_removed_endpoint(
+    reconnecting_vm: str,
 ) -> None:
     # Guards against word of endpoints from before they went, told to who connects anew.
     async with run_fleet() as rig:
@@ -34,36 +34,36 @@
         (victim,) = [e for e in rig.engines if e.zone == "north" and not e.model]
         victim.keeps_silent_in_the_store(60.0)
         await rig.store.drop("servers", victim.id)
-        gone_at = asyncio.get_running_loop().time()
+        removed_at = asyncio.get_running_loop().time()
         await asyncio.sleep(1.5)
         for peer in list(leader._exchange.feed._peers):
-            if peer.vm == who:
+            if peer.vm == reconnecting_vm:
                 peer.stream.abort()
         for number in range(40):
             for vm in ("north-2", "south-1", "south-2"):
                 reply = await rig.ask(vm, "/a/x", request_id=f"{vm}-{number}")
                 assert reply.status == 200
             await asyncio.sleep(0.05)
-        assert max(victim.arrivals, default=0.0) < gone_at + LEFT_ALONE_WITHIN
+        assert max(victim.arrivals, default=0.0) < removed_at + DRAIN_BOUND
 
 
-def test_word_of_before_its_end_brings_an_endpoint_not_back() -> None:
-    departures = Departures()
-    departures.note(GONE, 100.0)
-    assert departures.is_gone(GONE, 97.0)
-    assert departures.is_gone(GONE, 100.0)
+def test_tombstone_covers_older_rows_of_same_incarnation() -> None:
+    tombstones = Tombstones()
+    tombstones.record(REMOVED, 100.0)
+    assert tombstones.is_removed(REMOVED, 97.0)
+    assert tombstones.is_removed(REMOVED, 100.0)
     # Who has read the store since knows better.
-    assert not departures.is_gone(GONE, 100.3)
+    assert not tombstones.is_removed(REMOVED, 100.3)
     # Another start is another endpoint.
-    assert not departures.is_gone(replace(GONE, born=8), 97.0)
-    assert not departures.is_gone(replace(GONE, id=make_endpoint("e2").id), 97.0)
+    assert not tombstones.is_removed(replace(REMOVED, born=8), 97.0)
+    assert not tombstones.is_removed(replace(REMOVED, id=make_endpoint("e2").id), 97.0)
 
 
-def test_an_endpoint_that_is_listed_again_is_no_longer_gone() -> None:
-    departures = Departures()
-    departures.note(GONE, 100.0)
-    departures.forget(GONE.id)
-    assert not departures.is_gone(GONE, 97.0)
-    departures.note(GONE, 100.0)
-    departures.forget_old(100.0 + KEPT_FOR)
-    assert not departures.is_gone(GONE, 97.0)
+def test_tombstone_ends_when_listed_again_or_after_retention() -> None:
+    tombstones = Tombstones()
+    tombstones.record(REMOVED, 100.0)
+    tombstones.remove(REMOVED.id)
+    assert not tombstones.is_removed(REMOVED, 97.0)
+    tombstones.record(REMOVED, 100.0)
+    tombstones.prune_old(100.0 + RETENTION)
+    assert not tombstones.is_removed(REMOVED, 97.0)
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -29,13 +29,13 @@
     words = UnreadWords()
     before = COUNTS[Decision.ENDPOINT_WORD_UNREAD]
     for _ in range(3):
-        words.note(["server-mood"])
+        words.record(["server-mood"])
     assert words.count() == {"server-mood": 3.0}
     assert COUNTS[Decision.ENDPOINT_WORD_UNREAD] == before + 1
 
 
 def test_names_without_end_fill_no_memory() -> None:
     words = UnreadWords()
-    words.note(f"server-{number}" for number in range(3 * NAMES_MOST))
+    words.record(f"server-{number}" for number in range(3 * NAMES_MOST))
     assert len(words.count()) == NAMES_MOST + 1
     assert words.count()[OTHERS] == 2 * NAMES_MOST
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -9,7 +9,7 @@
     ENDPOINTS_GAP,
     ENDPOINTS_WAIT,
 )
-from kestreltally.knowledge.leaders import FEED_AGE_LIMIT
+from kestreltally.knowledge.leaders import MAX_FEED_AGE
 from kestreltally.knowledge.watching import KindWatch
 from kestreltally.platform.store import (
     WATCH_MARGIN,
@@ -39,17 +39,17 @@
         return Changes((), revision)
 
 
-class Nobody:
+class NullHandler:
     """Takes in what the store holds, and keeps nothing."""
 
-    def take_listing(self, listing: Listing) -> None:
+    def apply_listing(self, listing: Listing) -> None:
         pass
 
-    def take_changes(self, changes: Changes) -> None:
+    def apply_changes(self, changes: Changes) -> None:
         pass
 
 
-async def test_a_silent_store_is_noticed_before_a_leaving_endpoint_must_be() -> None:
+async def test_silent_store_is_detected_within_drain_bound() -> None:
     # trouble-1 of the grown ondalunga-catchup, DRAIN 3,008 ms: the leader's watch
     # waited on a silent store, and its followers took it for fresh all the while.
     store = SilentStore()
@@ -57,21 +57,21 @@
     watch = KindWatch(
         store,  # type: ignore[arg-type]
         "endpoints",
-        Nobody(),
+        NullHandler(),
         ENDPOINTS_GAP,
         ENDPOINTS_WAIT,
         lambda: 1,
         clock,
     )
-    watch.switch(True)
+    watch.set_enabled(True)
     running = asyncio.create_task(watch.run())
     for phase in range(8):
         store.silent = False
         await asyncio.sleep(3.0 + phase * 0.13)
-        assert watch.find_age() == 0.0
+        assert watch.compute_age() == 0.0
         store.silent = True
-        fell_at = clock()
-        while watch.find_age() < FEED_AGE_LIMIT:
+        silent_since = clock()
+        while watch.compute_age() < MAX_FEED_AGE:
             await asyncio.sleep(0.01)
-        assert clock() - fell_at < DRAIN_BOUND - 0.3
+        assert clock() - silent_since < DRAIN_BOUND - 0.3
     running.cancel()
