--- a/src/kestreltally/knowledge/__init__.py
+++ b/src/kestreltally/knowledge/__init__.py
@@ -1,1 +1,1 @@
-"""How knowledge reaches a daemon: from the store, and from the leader's feed."""
+"""Keeps a daemon's state up to date, from the store and from leaders' feeds."""
--- a/src/kestreltally/knowledge/authority.py
+++ b/src/kestreltally/knowledge/authority.py
@@ -1,15 +1,13 @@
-"""How old a daemon's word on the configuration is at most.
-
-A key that was taken away must soon run nothing, also where nobody can be asked. So a
-daemon keeps the latest moment of which it knows that it holds every configuration that
-the store had acknowledged by then. Two things prove a moment:
-
-- a read of the configuration: the store's answers hold at the time of the call at the
-  least;
-- a leader's word. A report carries this daemon's own time, and the leader answers how
-  much later or earlier than the arrival of that report its own proof is. No clocks are
-  compared, and an update that lay unread, however long, proves nothing more than when
-  its report left.
+"""Bounds the age of the configuration by which a daemon accepts API keys.
+
+Requests with a revoked key must be refused soon, even by a daemon that reaches neither
+the store nor a leader. So a daemon keeps the latest time for which it is known to hold
+every configuration that the store had acknowledged by then. There are two proofs:
+
+- A read of the configuration: the answer holds at least as of the time of the call.
+- An update of a leader: a report carries the daemon's own time, and the leader answers
+  with the offset of its own proof from the arrival of that report. No clocks are
+  compared, and an update that stays unread for some time does not prove a later time.
 """
 
 import asyncio
@@ -31,26 +29,26 @@
 LOG = logging.getLogger("kestreltally.authority")
 
 NEVER: Final[Seconds] = float("-inf")
-# What is left of the bound when keys are no longer believed: the steady clocks of a
-# daemon and the operators may run apart by a few parts in a hundred.
+# Keys are no longer accepted this long before the bound is reached, as the monotonic
+# clocks of a daemon and of the operators may differ in rate by a few percent.
 DRIFT_MARGIN: Final[Seconds] = 0.2
-# An unknown key is refused for good only by who knows all up to this long ago: longer
-# than leaders and their feeds take to tell, shorter than configurations take to be in
-# force everywhere.
+# A daemon refuses an unknown key for good only if its configuration is at most this
+# old: longer than the delay of leaders and feeds, shorter than the time in which
+# configurations come into force on all daemons.
 FRESHNESS_LIMIT: Final[Seconds] = 2.5
-# Leaders read so often: with the feed's 0.4 s a word is some 2 s old at the most, of
-# the 5 s it may be.
+# Interval at which leaders read the configuration. With the feed's 0.4 s, the proof is
+# at most about 2 s old, of the 5 s that are allowed.
 READ_INTERVAL: Final[Seconds] = 1.5
-# However many daemons read for themselves, each tries again within this time: sooner
-# than watches, for requests with a key are refused meanwhile.
+# Each daemon tries again within this time, however many of them read for themselves.
+# This is sooner than watches do, as requests with a key are refused meanwhile.
 MAX_RETRY_INTERVAL: Final[Seconds] = 2.0
 
 
 class Authority:
-    """The moment up to which all configurations are known here.
+    """The time up to which this daemon knows all configurations.
 
-    ``bound`` is how old the word may be by which keys are believed; none where keys
-    are believed without bound.
+    ``bound`` is the maximum age at which keys are accepted; None accepts keys at any
+    age.
     """
 
     def __init__(self, bound: Seconds | None, clock: Callable[[], Seconds]) -> None:
@@ -60,26 +58,26 @@
         self._was_valid = False
 
     def record(self, as_of: Seconds) -> None:
-        """Take in that all up to a moment, of this daemon's clock, is known."""
+        """Record that all configurations up to a time of the local clock are known."""
         self.as_of = max(self.as_of, as_of)
         self._log_change()
 
     def compute_age(self) -> Seconds:
-        """Return how old the word is at most."""
+        """Return the maximum age of the known configuration."""
         return self._clock() - self.as_of
 
     @property
     def is_valid(self) -> bool:
-        """Tell whether keys may still be believed."""
+        """Return whether keys can still be accepted."""
         return self.bound is None or self.compute_age() < self.bound - DRIFT_MARGIN
 
     @property
     def is_fresh(self) -> bool:
-        """Tell whether what is unknown here is unknown to the operators too."""
+        """Return whether an unknown key is unknown to the operators too."""
         return self.compute_age() < FRESHNESS_LIMIT
 
     def check(self) -> bool:
-        """Tell whether keys may still be believed, and log when that changes."""
+        """Return whether keys can still be accepted, and log a change of that."""
         self._log_change()
         return self._was_valid
 
@@ -97,11 +95,11 @@
 
 
 class ConfigurationReader:
-    """Reads the configuration again and again while nobody else proves its age.
+    """Reads the configuration repeatedly while no leader proves its age.
 
-    ``apply_stored`` tells whether what was read is in force;
-    ``is_needed`` whether this daemon is to read; ``count_readers`` how many daemons do
-    so when the store does not answer.
+    ``apply_stored`` returns whether the configuration read is in force, ``is_needed``
+    whether this daemon has to read, and ``count_readers`` how many daemons read when
+    the store does not answer.
     """
 
     def __init__(
@@ -122,12 +120,12 @@
         self._required = asyncio.Event()
 
     def wake_if_needed(self) -> None:
-        """Begin to read, if that is needed now."""
+        """Start to read if that is needed."""
         if not self._required.is_set() and self._is_needed():
             self._required.set()
 
     async def run(self) -> None:
-        """Read for ever, whenever it is needed."""
+        """Read whenever that is needed; runs forever."""
         while True:
             if not self._is_needed():
                 self._required.clear()
@@ -149,6 +147,7 @@
         if stored is None or not self._apply_stored(stored):
             return
         if lacks_writes(self._store.copied_at, started_at):
-            # A copy lacks what took a key away in the seconds that the store has lost.
+            # A store restored from a backup may lack the write that revoked a key in
+            # the seconds that it lost.
             return
         self._authority.record(started_at)
--- a/src/kestreltally/knowledge/credits.py
+++ b/src/kestreltally/knowledge/credits.py
@@ -1,11 +1,12 @@
-"""Turns at endpoints that name a limit: who asks whom for them, and what is told.
+"""Exchanges credits for calls at rate-limited endpoints over the feed.
 
-A daemon asks the leader it follows, a leader asks the one that leads the endpoint, each
-in its reports, which go out at once where a request waits. Turns come back with updates
-and are handed on the same way. That a leader is heard does not tell that its lease
-holds: one that does not hold the endpoint's lease, and hears nobody who leads under it,
-lends by itself to those that it hears, less (``placing/turns.py``). A daemon's cost is
-by the endpoints that name a limit, not by the size of the fleet.
+A daemon requests credits from the leader it follows, and that leader requests them from
+the leader of the endpoint. Requests travel in reports, which are sent at once if a call
+waits; credits come back in updates, and are handed over along the same path. A leader
+may be reachable although its lease has expired. A leader that does not hold the
+endpoint's lease, and reaches no leader that does, issues credits to the daemons that it
+reaches by itself, at a lower rate (see the terms of the issuer). The cost for a daemon
+grows with the number of rate-limited endpoints, not with the size of the fleet.
 """
 
 import asyncio
@@ -39,9 +40,9 @@
 
 
 class CreditExchange(FeedPart):
-    """Puts wants and turns into reports and updates, and takes them in.
+    """Sends requests for credits in reports, and credits in updates; applies both.
 
-    ``record_credit`` is called with an endpoint at which a turn of this daemon's has come.
+    ``record_credit`` is called with the endpoint for which this daemon got a credit.
     """
 
     def __init__(
@@ -63,7 +64,7 @@
         self._issuer = TurnLender(
             self._local_holder, self._list_credit_holders, self._acquire_local, clock
         )
-        # Turns got from each leader since this daemon last connected to it.
+        # Credits received from each leader over the current connection.
         self._received: dict[str, Counter[EndpointId]] = {
             name: Counter() for name in leases
         }
@@ -73,31 +74,31 @@
         self._notices.find_lending = self.find_lending
         self._notices.record_requested = self._record_requested
 
-    # Who lends.
+    # Which daemon issues credits.
 
     def find_lending(self, endpoint: Endpoint) -> Lending:
-        """Return who lends turns at an endpoint, as far as is known here.
+        """Return what is known of the issuer of an endpoint's credits.
 
-        Any leader does, in its own right or another's.
+        Any leader provides them: it issues them, or forwards those of another leader.
         """
         heard = self._leaders.leads or self._leaders.find_primary() is not None
         return Lending(heard=heard, daemons=self._daemon_count.maximum)
 
     def record_daemon_count(self, count: int) -> None:
-        """Take in how many daemons are heard by all leaders that are heard."""
+        """Record the number of daemons in the groups of all reachable leaders."""
         self._daemon_count.record(count, self._clock())
 
     def _issues(self, endpoint: Endpoint) -> bool:
-        """Tell whether turns at an endpoint are lent here, not by another leader."""
+        """Return whether this daemon issues the credits of an endpoint."""
         is_reachable = self._leaders.is_reachable(self._get_lease(endpoint).data_centre)
         return self._leads(endpoint) or (self._leaders.leads and not is_reachable)
 
     def _leads(self, endpoint: Endpoint) -> bool:
-        """Tell whether this daemon leads an endpoint, though its lease may be over."""
+        """Return whether this daemon leads an endpoint; the lease may have expired."""
         return self._get_lease(endpoint).leads
 
     def _choose_terms(self, endpoint: Endpoint, limit: LimitStanding) -> Terms:
-        """Return how turns are lent here."""
+        """Return the terms on which this daemon issues credits of an endpoint."""
         if self._get_lease(endpoint).holds_alone():
             return find_leased_terms(limit.rate)
         leads = self._leads(endpoint)
@@ -114,7 +115,7 @@
                 yield peer.credit_holder
 
     def issue(self) -> None:
-        """Lend, as a leader, what may be lent now, and come back for the rest."""
+        """Issue the credits that are due, as a leader, and schedule the next round."""
         if self._issue_timer is not None:
             self._issue_timer.cancel()
             self._issue_timer = None
@@ -145,7 +146,7 @@
             self._feed.expedite()
 
     def _acquire_local(self, endpoint: EndpointId, expires_at: Seconds) -> None:
-        """Take a turn for this daemon's own calls."""
+        """Add a credit for this daemon's own calls."""
         known = self._fleet.endpoints.get(endpoint)
         if known is None:
             return
@@ -155,10 +156,10 @@
             self._local_holder.wanted[endpoint] = limit.list_requested(self._clock())
             self.record_credit(known)
 
-    # Asking.
+    # Requests.
 
     def _record_requested(self, endpoint: EndpointId) -> None:
-        """Ask at once for a turn that a request waits for."""
+        """Issue or request a credit at once for a call that waits."""
         known = self._fleet.endpoints.get(endpoint)
         if known is None:
             return
@@ -168,7 +169,7 @@
         self._expedite(known)
 
     def _expedite(self, endpoint: Endpoint) -> None:
-        """Have the next report to who lends, or asks for it, sent at once."""
+        """Send the next report towards the issuer of an endpoint's credits at once."""
         name: str | None = self._get_lease(endpoint).data_centre
         if not self._leaders.leads:
             name = self._leaders.find_primary()
@@ -176,11 +177,11 @@
             self._leaders.clients[name].expedite()
 
     def record_connected(self, data_centre: str) -> None:
-        """Begin anew with a leader: it has lent nothing over this connection."""
+        """Reset the count of credits received from a leader on a new connection."""
         self._received[data_centre].clear()
 
     def fill_report(self, report: Any, data_centre: str) -> None:
-        """Put into a report which turns are wanted of a leader."""
+        """Add the credits requested from a leader to a report."""
         rows = []
         for name, requested in self._list_requested(data_centre):
             received_count = self._received[data_centre][name]
@@ -204,7 +205,7 @@
             yield name, requested
 
     def apply_report(self, peer: Peer, report: Any) -> None:
-        """Take in which turns a daemon wants, and lend them or ask for them."""
+        """Record the credits that a daemon requests, and issue or request them."""
         credit_holder = peer.credit_holder
         credit_holder.wanted = {}
         for row in report.wanted or ():
@@ -215,7 +216,7 @@
             return
         for name, requested in credit_holder.wanted.items():
             known = self._fleet.endpoints.get(name)
-            # What nobody waits for is lent with the leader's next rounds.
+            # Credits that no call waits for yet are issued in the leader's next rounds.
             if known is None or all(urgency >= AHEAD for urgency in requested):
                 continue
             if self._issues(known):
@@ -223,10 +224,10 @@
             else:
                 self._expedite(known)
 
-    # Telling.
+    # Updates.
 
     def fill_update(self, update: Any, peer: Peer) -> None:
-        """Put limits, and the turns lent to a daemon, into an update."""
+        """Add rate limits, and the credits issued to a daemon, to an update."""
         now = self._clock()
         known = self._notices.list_known(now)
         update.notices = [encode_notice(each) for each in known if each.limit_version]
@@ -240,7 +241,7 @@
         ]
 
     def apply_update(self, received: ReceivedUpdate) -> None:
-        """Take in limits and turns that a leader tells."""
+        """Apply the rate limits and credits of a leader's update."""
         update = received.update
         is_followed = received.followed and not self._leaders.leads
         for row in update.notices or ():
@@ -248,8 +249,8 @@
             self._notices.take_limit_told(notice, self._clock())
             self._apply_wait(notice, received.led_data_centres, is_followed=is_followed)
         if update.turns and update.echo is not None:
-            # Counted from when this daemon reported: no word that comes late, for what
-            # reason ever, lends more time than its sender gave.
+            # Credits expire relative to the time of this daemon's report. So an update
+            # that arrives late, for whatever reason, does not extend them.
             sent_at = update.echo + update.echo_age
             self._apply_credits(received.data_centre, update, sent_at)
 
@@ -260,7 +261,7 @@
         *,
         is_followed: bool,
     ) -> None:
-        """Take in how long calls wait for turns, from who lends them or tells on."""
+        """Apply the wait for credits that the issuer reports, or a leader forwards."""
         known = self._fleet.endpoints.get(notice.endpoint)
         limit = self._notices.find_limit(notice.endpoint, notice.born)
         if known is None or limit is None:
--- a/src/kestreltally/knowledge/daemon_count.py
+++ b/src/kestreltally/knowledge/daemon_count.py
@@ -1,29 +1,28 @@
-"""How many daemons there are, by the most that were heard of lately.
+"""Estimates the number of daemons as the maximum seen in recent time windows.
 
-Those that are heard at the moment may be a part only: the others may be cut off, and
-believe the same of this part. What each part takes of a bound over all must not grow as
-it hears fewer.
+The daemons that are reachable now may be one side of a network partition. The share of
+a common limit that each side uses must not grow when it reaches fewer daemons.
 """
 
 from typing import Final
 
 from kestreltally.fleet.model import Seconds
 
-# A VM that nobody has heard of for so long is taken for gone.
+# A VM that was not reported for this long is treated as removed.
 COUNT_WINDOW: Final[Seconds] = 60.0
 
 
 class DaemonCount:
-    """The most daemons that were told in the last minute or two."""
+    """The maximum number of daemons reported in the last one to two windows."""
 
     def __init__(self) -> None:
         self._window_start: Seconds = float("-inf")
         self._maximum: int | None = None
-        # That of the time before.
+        # Maximum of the previous window.
         self._previous_maximum: int | None = None
 
     def record(self, count: int, now: Seconds) -> None:
-        """Take in how many daemons are heard now."""
+        """Record the number of daemons that are reachable now."""
         if now - self._window_start >= COUNT_WINDOW:
             self._window_start = now
             self._previous_maximum, self._maximum = self._maximum, None
@@ -31,7 +30,7 @@
 
     @property
     def maximum(self) -> int | None:
-        """Return how many there are, none where this was never told."""
+        """Return the estimated number of daemons, None if none was recorded."""
         known = [
             each for each in (self._maximum, self._previous_maximum) if each is not None
         ]
--- a/src/kestreltally/knowledge/exchange.py
+++ b/src/kestreltally/knowledge/exchange.py
@@ -1,9 +1,10 @@
-"""What daemons tell each other, and what is made of it.
+"""Builds the reports and updates of the feed, and applies those of other daemons.
 
-Each data centre has a leader, which orders its engines. The other daemons there follow
-it: they report what is asked for and under way, and hear of all endpoints. Leaders
-follow each other, so that between data centres each row goes once to each other
-leader. A daemon without a leader of its own follows one of another data centre.
+Each data centre has a leader, which gives orders to its engines. The other daemons of
+the data centre follow it: they report demand and requests in flight, and receive the
+rows of all endpoints. Leaders follow each other, so that each row is sent only once
+from a data centre to each other leader. A daemon whose data centre has no leader
+follows the leader of another data centre.
 """
 
 import json
@@ -69,20 +70,22 @@
 
 LOG = logging.getLogger("kestreltally.exchange")
 
-# At the start, and when a leader is lost, another is heard within this time as a rule;
-# until then requests for missing adapters are held as if a load took this long.
+# After the start, and after the loss of a leader, a daemon usually receives updates of
+# a new leader within LEADER_CHANGE_DURATION. Until then requests for missing adapters
+# are held as if a load took LEADER_CHANGE_LOAD_WAIT.
 LEADER_CHANGE_DURATION: Final[Seconds] = 1.0
 LEADER_CHANGE_LOAD_WAIT: Final[Seconds] = 0.35
 
-# A leader whose loads take longer than this is not asked for what it has room for; one
-# that may not order yet tells a longer wait than the other, and is not asked for what
-# its engines keep copies of, which come ahead of loads from the store.
+# Limits on the load wait that another leader reports. Above the first one its free
+# capacity is not used. Above the second one it is not asked for adapters of which its
+# engines keep copies either. That limit is higher, as copies are loaded ahead of
+# adapters from the store; a leader that cannot give orders yet reports a longer wait.
 MAX_CAPACITY_LOAD_WAIT: Final[Seconds] = 0.5
 MAX_HANDOVER_LOAD_WAIT: Final[Seconds] = 2.0
 
 
 class Exchange:
-    """Makes reports and updates, and takes those of other daemons in."""
+    """Builds reports and updates, and applies those of other daemons."""
 
     def __init__(
         self,
@@ -169,7 +172,7 @@
         self._resigned: tuple[LedDataCentre, ...] = ()
 
     def resign_if_cut_off(self) -> None:
-        """Give the leases up when only this daemon has lost the store."""
+        """Resign the leases if only this daemon has lost the store."""
         renewed_at = self.feed.get_store_answered_at()
         read_at = self.feed.get_store_read_at()
         local_read_at = self._store_read_at()
@@ -186,10 +189,13 @@
         )
         self.feed.send_all()
 
-    # What a leader tells.
+    # What a leader sends in updates.
 
     def _make_state(self) -> LeaderState:
-        """Return what is told; a leader that has listed nothing yet is none."""
+        """Return the state for updates.
+
+        A daemon that knows no endpoint list yet does not report that it leads.
+        """
         configuration = self._fleet.configuration
         has_listed = self._has_listed()
         leads = tuple(
@@ -216,15 +222,21 @@
         )
 
     def _has_listed(self) -> bool:
-        """Tell whether this daemon has listed endpoints, or heard of them."""
+        """Return whether endpoints are known, from the store or from a leader."""
         return bool(self._fleet.endpoints) or self._endpoints_age() < AGE_UNKNOWN
 
     def _get_known_at(self) -> Seconds | None:
-        """Return up to when all configurations are known here, if it matters."""
+        """Return the time up to which all configurations are known.
+
+        None if no API keys are checked.
+        """
         return self._authority.as_of if self._fleet.keys is not None else None
 
     def _make_throttles(self) -> list[Word] | None:
-        """Return the word on organisations at their limit, where any has one."""
+        """Return the throttles of organisations at their limit.
+
+        None if no API keys are checked.
+        """
         if self._fleet.keys is None:
             return None
         now = self._clock()
@@ -274,7 +286,7 @@
         return report
 
     def _compute_store_age(self) -> Seconds:
-        """Return how long ago the store answered a renewal of this daemon's."""
+        """Return the time since the store answered a lease renewal of this daemon."""
         renewed = [each.renewed_at for each in self._leases.values() if each.leads]
         return min(self._clock() - max(renewed, default=float("-inf")), AGE_UNKNOWN)
 
@@ -290,7 +302,7 @@
         report.spendings = [encode_spending(each) for each in spendings]
 
     def _add_group(self, report: Any, data_centre: str) -> None:
-        """Sum up this leader's daemons for another leader."""
+        """Add the totals of this leader's daemons to a report for another leader."""
         encode_occupancy(report, self.feed.sum_group_occupancy())
         report.daemons = self.feed.count_group()
         followers = (peer.uses for peer in self.feed.list_followers())
@@ -301,7 +313,7 @@
         )
 
     def _list_handed_over(self, data_centre: str) -> list[WeightsDemand]:
-        """Return the demand that another leader is to meet."""
+        """Return the demand that another leader is asked to serve."""
         if self.leader is None:
             return []
         if self.leader.find_order_wait() == 0.0:
@@ -312,12 +324,15 @@
         return self.leader.list_unmet() if available[:1] == [data_centre] else []
 
     def can_hand_over(self, data_centre: str) -> bool:
-        """Tell whether the leader of another data centre can bring copies now."""
+        """Return whether another data centre's leader can load kept copies now."""
         client = self.leaders.clients.get(data_centre)
         return client is not None and client.can_load_within(MAX_HANDOVER_LOAD_WAIT)
 
     def get_free_capacity(self) -> dict[str, int]:
-        """Return how many more adapters other leaders that order now could take."""
+        """Return the number of adapters that other leaders' engines can still take.
+
+        Only leaders that can give orders now are included.
+        """
         return {
             name: client.free_capacity
             for name, client in self.leaders.clients.items()
@@ -325,17 +340,17 @@
         }
 
     def expedite(self, data_centre: str) -> None:
-        """Have the leader of a data centre told of new demand at once."""
+        """Send the next report to the leader of a data centre at once."""
         self.leaders.clients[data_centre].expedite()
 
     def get_min_load_wait(self) -> Seconds | None:
-        """Return what a load takes at the quickest of the other leaders heard."""
+        """Return the shortest load wait of the other reachable leaders, if any."""
         load_waits = [
             each.load_wait for each in self.leaders.clients.values() if each.is_alive()
         ]
         return min(load_waits, default=None)
 
-    # What a daemon makes of an update.
+    # How a daemon applies an update.
 
     def _apply_update(self, data_centre: str, update: Any) -> None:
         for led in update.leads or ():
@@ -357,7 +372,7 @@
             self._apply_totals(update)
 
     def _make_received_update(self, data_centre: str, update: Any) -> ReceivedUpdate:
-        """Return an update with how it is to be taken."""
+        """Return an update with the context in which to apply it."""
         age = AGE_UNKNOWN if update.store_age is None else update.store_age
         return ReceivedUpdate(
             update=update,
@@ -368,7 +383,10 @@
         )
 
     def _apply_authority(self, update: Any) -> None:
-        """Take in up to when the leader knows all, once all that is known here too."""
+        """Record up to when the leader's configuration is complete.
+
+        This waits until this daemon has that configuration in force too.
+        """
         configuration = self._fleet.configuration
         if configuration is None or update.known_by is None:
             return
@@ -376,7 +394,7 @@
             self._authority.record(update.echo + update.known_by)
 
     def _apply_totals(self, update: Any) -> None:
-        """Take in how full all is; only the regular updates tell the counts."""
+        """Apply occupancy and daemon count, which only regular updates carry."""
         if update.words is not None:
             self._limiter.note_words([decode_throttle(row) for row in update.words])
         self._relay.finder.load_wait = update.load_wait
@@ -385,7 +403,7 @@
             self._record_daemon_count(update.daemons)
 
     def apply_configuration(self, configuration: Configuration) -> bool:
-        """Put a configuration in force unless it is older, and feed it to followers."""
+        """Put a configuration in force unless it is older, and send it to followers."""
         applied = self._fleet.apply_configuration(configuration)
         if applied:
             self.ledger.take_organisations(configuration.organisations)
@@ -394,12 +412,12 @@
         return applied
 
     def get_lease(self, endpoint: Endpoint) -> Lease:
-        """Return the lease under which an endpoint gets its orders."""
+        """Return the lease under which orders for an endpoint are given."""
         lease = self._leases.get(endpoint.data_centre)
         return lease or self._leases[min(self._leases)]
 
     def apply_local_report(self) -> None:
-        """Do for this daemon's own requests what a leader does for its followers."""
+        """Process this daemon's own requests like the reports of its followers."""
         if self.leader is None or not self.leaders.leads:
             return
         local = self._deployment
@@ -420,18 +438,18 @@
         self.credits.issue()
 
     def _record_daemon_count(self, count: int) -> None:
-        """Take in how many daemons there are, for this one's part of what all share."""
+        """Record the number of daemons, from which shares of common limits follow."""
         self._relay.budget.daemons = count
         self._limiter.daemons = count
         self.credits.record_daemon_count(count)
 
     def list_uses(self) -> set[Use]:
-        """Return which adapters on which engines are in use, as all daemons told."""
+        """Return the adapters in use on each engine, as reported by all daemons."""
         local = self._relay.finder.demand.uses
         return set(local).union(*self.feed.list_uses())
 
     def _record_notice(self, endpoint: EndpointId) -> None:
-        """Heed at once what an endpoint says of itself, and tell it."""
+        """Apply a new notice of an endpoint, and report it at once."""
         known = self._fleet.endpoints.get(endpoint)
         if known is not None:
             self._fleet.put_endpoint(known)
@@ -439,16 +457,16 @@
             self.leader.note_notice(endpoint)
         self._expedite_facts()
         if self.leaders.leads:
-            # The leader of the endpoint is told by a report, as by any other daemon.
+            # The endpoint's leader learns of notices from reports, also of leaders.
             self._expedite_leader_reports()
 
     def _wake_credit_waiter(self, endpoint: Endpoint) -> None:
-        """Wake the most urgent request that waits for a turn at an endpoint."""
+        """Wake the most urgent request that waits for a credit at an endpoint."""
         awaited: list[Awaited] = [*endpoint.weights, endpoint.service]
         self._relay.finder.waiters.wake_most_urgent(awaited)
 
     def _expedite_facts(self) -> None:
-        """Tell at once what is new of requests at ends."""
+        """Send new poison facts and notices at once."""
         if self.leaders.leads:
             self.feed.expedite()
             return
@@ -457,7 +475,7 @@
             self.expedite(primary)
 
     def _report_use_change(self) -> None:
-        """Tell at once of an adapter's first or last use where places are short."""
+        """Report an adapter's first or last use at once if adapter slots are short."""
         if self.leaders.leads and self.leader is not None:
             if self.leader.is_short:
                 self.leader.wake()
@@ -468,7 +486,7 @@
             self.expedite(primary)
 
     def _sum_totals(self) -> None:
-        """Take in how full all is, as a leader."""
+        """Sum the occupancy of all daemons, as a leader."""
         if self.leader is None:
             return
         self._summed_at = self._clock()
@@ -479,7 +497,7 @@
         )
 
     def _notify_totals_change(self, peer: Peer) -> None:
-        """Hand on that a daemon's endpoints have notably more or less to read."""
+        """Forward a significant change of a daemon's unread prompt tokens."""
         if not self.leaders.leads:
             return
         if self._clock() - self._summed_at >= MIN_TOTALS_INTERVAL:
@@ -489,7 +507,7 @@
             self._expedite_leader_reports()
 
     def _record_local_reading(self, tokens: int) -> None:
-        """Tell others at once that an endpoint begins or ends with a long prompt."""
+        """Report at once that an endpoint starts or finishes reading a long prompt."""
         if tokens < SIGNIFICANT_TOKENS:
             return
         if self.leaders.leads:
@@ -501,13 +519,13 @@
             self.expedite(primary)
 
     def _expedite_leader_reports(self) -> None:
-        """Report to the other leaders at once."""
+        """Send the next reports to the other leaders at once."""
         for client in self.leaders.clients.values():
             if client.is_alive():
                 client.expedite()
 
     def expire_leader_state(self) -> None:
-        """Plan with nobody's word while no leader is heard."""
+        """Drop what a leader reported once no leader is reachable."""
         now = self._clock()
         if self.leaders.leads or self.leaders.find_primary() is not None:
             self._contact_at = now
--- a/src/kestreltally/knowledge/feed.py
+++ b/src/kestreltally/knowledge/feed.py
@@ -1,4 +1,4 @@
-"""A leader's side of the feed: takes reports in and sends updates out."""
+"""The leader's side of the feed: receives reports and sends updates."""
 
 import asyncio
 import logging
@@ -33,36 +33,37 @@
 
 LOG = logging.getLogger("kestreltally.feed")
 
-# Followers hold a feed that is silent for three of these as lost.
+# Followers treat a feed as lost after a silence of three intervals.
 UPDATE_INTERVAL: Final[Seconds] = 0.2
-# A daemon that does not lead has nothing to send; it is woken when it begins to.
+# A daemon that does not lead has nothing to send; it is woken when it starts to lead.
 IDLE_INTERVAL: Final[Seconds] = 1.0
-# Changes within this time go out together: a tenth of what a load takes, and with many
-# followers, each of whom wakes for every update, up to a fifth.
+# Changes within the batch delay are sent together. The delay is a tenth of the duration
+# of a load, and up to a fifth with many followers, as every update wakes each of them.
 MIN_BATCH_DELAY: Final[Seconds] = 0.02
 MAX_BATCH_DELAY: Final[Seconds] = 0.05
 BATCH_DELAY_PER_FOLLOWER: Final[Seconds] = 0.002
-# Counts that have changed notably go out between the regular updates, not more often
-# than this: a long prompt is read for some 0.25 s.
+# Totals that have changed significantly are sent between the regular updates, at most
+# once in this interval; an engine reads a long prompt for about 0.25 s.
 MIN_TOTALS_INTERVAL: Final[Seconds] = 0.04
-# With many followers less often: a leader sends at most some 250 counts a second.
+# The interval grows with the followers: a leader sends about 250 totals/s at most.
 TOTALS_INTERVAL_PER_FOLLOWER: Final[Seconds] = 0.004
-# A change by so many tokens, which take 50 to 100 ms to read, is notable.
+# A change of at least this many unread tokens is significant: an engine takes 50 to
+# 100 ms to read them.
 SIGNIFICANT_TOKENS: Final = 2_048
-# A daemon that has more than this still to read is told nothing new until it has read
-# it, so that what it hears is fresh: on the thinnest link, 10 Mbit/s, some 25 ms.
+# A daemon with more unsent bytes than this gets no further update until it has read
+# them, so that updates stay recent: about 25 ms on the slowest link of 10 Mbit/s.
 MAX_UNSENT_BYTES: Final = 2**15
-# One that reads nothing for this long is dropped.
+# A daemon that stays above that limit for this long is disconnected.
 UNSENT_TIMEOUT: Final[Seconds] = 3.0
-# A configuration that a daemon still lacks after this is sent once more.
+# A configuration is sent again if a daemon still lacks it after this interval.
 CONFIGURATION_RETRY_INTERVAL: Final[Seconds] = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Totals:
-    """How full endpoints are over all daemons, and how many daemons there are.
+    """Occupancy of the endpoints summed over all daemons, and the number of daemons.
 
-    ``throttles`` are the structs on organisations at their limit, none without quotas.
+    ``throttles`` are the structs for organisations at their limit, None without quotas.
     """
 
     occupancy: Fullness
@@ -71,7 +72,7 @@
 
 
 class FeedServer:
-    """Listens for the other daemons; only a leader's answers carry rows."""
+    """Accepts connections of the other daemons; only a leader's updates carry rows."""
 
     def __init__(
         self,
@@ -89,13 +90,13 @@
         self._wake = asyncio.Event()
         self._totals_sent_at: Seconds = float("-inf")
         self._totals_changed = False
-        # Called when daemons that report here have notably more or less to be read.
+        # Called when a peer's number of unread prompt tokens changes significantly.
         self.notify_totals_change: Callable[[Peer], None] = lambda _: None
-        # Tells whether this daemon leads, and knows what to tell.
+        # Returns whether this daemon leads and has rows to send.
         self.is_leading: Callable[[], bool] = lambda: bool(state().leads)
-        # Returns the words on organisations at their limit, none without quotas.
+        # Returns the throttles of organisations at their limit, None without quotas.
         self.make_throttles: Callable[[], Iterable[Word] | None] = lambda: None
-        # What take their own from reports, and put it into updates.
+        # Each part reads its fields from reports, and fills those of updates.
         self.parts: Sequence[FeedPart] = ()
         self._server: asyncio.Server | None = None
 
@@ -104,40 +105,40 @@
         self._server = await asyncio.start_server(self._serve, host, port)
 
     def close(self) -> None:
-        """Listen no more, and let go of all daemons that are connected."""
+        """Stop listening, and disconnect all daemons."""
         if self._server is not None:
             self._server.close()
         for peer in list(self._peers):
             peer.stream.abort()
 
     def expedite(self) -> None:
-        """Send what has changed soon."""
+        """Send changes after the batch delay, ahead of the next regular update."""
         self._wake.set()
 
     def expedite_totals(self) -> None:
-        """Send how full endpoints are soon."""
+        """Send totals ahead of the next regular update."""
         self._totals_changed = True
         self._wake.set()
 
     def list_followers(self) -> list[Peer]:
-        """Return the daemons that are connected, but for other leaders."""
+        """Return the connected daemons except other leaders."""
         return [peer for peer in self._peers if peer.vm and not peer.leads]
 
     def list_leaders(self) -> list[Peer]:
-        """Return the leaders of other data centres that are connected."""
+        """Return the connected leaders of other data centres."""
         return [peer for peer in self._peers if peer.vm and peer.leads]
 
     def list_uses(self) -> list[Mapping[tuple[EndpointId, WeightsKey], int]]:
-        """Return what each daemon that is connected has in use."""
+        """Return the weights that each connected daemon has in use."""
         return [peer.uses for peer in self._peers if peer.vm]
 
     def get_store_answered_at(self) -> Seconds:
-        """Return when the store last answered another daemon, as far as is known."""
+        """Return when the store last answered a peer's lease renewal."""
         times = (peer.store_answered_at for peer in self._peers)
         return max(times, default=float("-inf"))
 
     def get_store_read_at(self) -> Seconds:
-        """Return when another daemon last read the store, as far as is known."""
+        """Return when a peer last read the endpoints from the store."""
         times = (peer.store_read_at for peer in self._peers)
         return max(times, default=float("-inf"))
 
@@ -190,7 +191,7 @@
             self.notify_totals_change(peer)
 
     async def run(self) -> None:
-        """Send updates for ever while this daemon leads."""
+        """Send updates whenever this daemon leads; runs forever."""
         while True:
             if not self.is_leading():
                 self._totals_sent_at = self._clock()
@@ -204,12 +205,12 @@
                 self.send_all()
 
     def _compute_batch_delay(self) -> Seconds:
-        """Return how long changes are gathered."""
+        """Return how long to collect changes for one update."""
         scaled = BATCH_DELAY_PER_FOLLOWER * len(self.list_followers())
         return min(MAX_BATCH_DELAY, max(MIN_BATCH_DELAY, scaled))
 
     def _compute_totals_interval(self) -> Seconds:
-        """Return how long counts are not sent again."""
+        """Return the minimum time between two updates with totals."""
         if not self._totals_changed:
             return UPDATE_INTERVAL
         followers = len(self.list_followers())
@@ -217,7 +218,7 @@
         return min(UPDATE_INTERVAL, interval)
 
     def _compute_update_delay(self) -> Seconds:
-        """Return how long until counts are due."""
+        """Return the time until totals are due."""
         passed = self._clock() - self._totals_sent_at
         return max(0.0, min(UPDATE_INTERVAL, self._compute_totals_interval() - passed))
 
@@ -235,7 +236,7 @@
                 self._send(peer, current, totals)
 
     def _make_totals(self) -> Totals:
-        """Return the counts of this moment, for all followers alike."""
+        """Return the current totals, which are the same for all followers."""
         throttles = self.make_throttles()
         return Totals(
             occupancy=self.sum_occupancy(),
@@ -248,7 +249,7 @@
         )
 
     def _send(self, peer: Peer, current: UpdateRound, totals: Totals | None) -> None:
-        """Write an update, unless the peer has yet to read the one before."""
+        """Write an update, unless the peer lags behind earlier ones."""
         if self._is_lagging(peer):
             return
         update, sent = current.make_update(
@@ -271,7 +272,7 @@
         peer.stream.send(update)
 
     def _is_lagging(self, peer: Peer) -> bool:
-        """Tell whether a peer has much to read still; drop one that does not read."""
+        """Return whether a peer has much unsent data; drop one that does not read."""
         now = self._clock()
         if peer.stream.unsent <= MAX_UNSENT_BYTES:
             peer.unsent_since = None
@@ -284,12 +285,13 @@
         return True
 
     def _should_send_configuration(self, peer: Peer, version: int) -> bool:
-        """Tell whether to send the configuration, and note that it is sent."""
+        """Return whether to send the configuration, and record that it is sent."""
         if peer.configuration >= version:
             return False
         now = self._clock()
         recent = now - peer.configuration_sent_at < CONFIGURATION_RETRY_INTERVAL
-        # Other leaders watch for themselves: they are told only if that fails them.
+        # Other leaders watch the store; they are sent the configuration only if they
+        # still lack it after the retry interval.
         is_sent = peer.sent_configuration == version
         if peer.leads and not is_sent:
             recent = is_sent = True
@@ -304,33 +306,33 @@
     measure_local: Callable[[], Fullness]
 
     def count_group(self) -> int:
-        """Return how many daemons this one and its followers are."""
+        """Return the number of daemons in this group: this one and its followers."""
         return 1 + sum(peer.follows for peer in self.list_followers())
 
     def count_daemons(self) -> int:
-        """Return how many daemons there are over all leaders heard."""
+        """Return the number of daemons in the groups of all connected leaders."""
         return self.count_group() + sum(peer.daemons for peer in self.list_leaders())
 
     def sum_group_occupancy(self) -> Fullness:
-        """Return what this daemon and its followers have under way."""
+        """Return the occupancy caused by this daemon and its followers."""
         followers = (peer.occupancy for peer in self.list_followers())
         return Fullness.total((self.measure_local(), *followers))
 
     def sum_occupancy(self) -> Fullness:
-        """Return what all daemons have under way."""
+        """Return the occupancy caused by all connected daemons and this one."""
         peers = (peer.occupancy for peer in self._peers if peer.vm)
         return Fullness.total((self.measure_local(), *peers))
 
 
 def _fill_authority(update: Update, peer: Peer, state: LeaderState) -> None:
-    """Answer a report's time with how much later all is known here."""
+    """Answer a report's stamp with the offset up to which all writes are known."""
     if state.known_at is not None and peer.stamp is not None:
         update.echo = peer.stamp
         update.known_by = state.known_at - peer.stamp_received_at
 
 
 def differs_significantly(before: Fullness, after: Fullness) -> bool:
-    """Tell whether notably more or less is to be read at some endpoint."""
+    """Return whether the unread tokens of an endpoint changed significantly."""
     return any(
         abs(before.unread.get(name, 0) - after.unread.get(name, 0))
         >= SIGNIFICANT_TOKENS
--- a/src/kestreltally/knowledge/feed.thrift
+++ b/src/kestreltally/knowledge/feed.thrift
@@ -1,5 +1,5 @@
-// What the leader and the other daemons tell each other, over one TCP connection a
-// daemon: length-prefixed structs, Reports one way and Updates the other.
+// Messages between a leader and the other daemons, over one TCP connection per daemon:
+// length-prefixed structs, Reports to the leader and Updates to the daemon.
 
 struct WeightsVersion {
   1: string model,
@@ -32,7 +32,7 @@
   8: i32 prompt_tokens,
 }
 
-// Weights on an engine: how many requests use them there, or that it refused one.
+// Weights on an engine: the number of requests that use them, or that it refused one.
 struct UseRow {
   1: string endpoint,
   2: string model,
@@ -40,14 +40,15 @@
   4: i32 count,
 }
 
-// How requests ended at an endpoint since the report before: whole, or failed.
+// Outcomes of requests at an endpoint since the previous report: whole is the number of
+// complete answers.
 struct OutcomeRow {
   1: string endpoint,
   2: i32 whole,
   3: i32 failed,
 }
 
-// What changed of the weights on an engine since the row or change before.
+// Changes of the weights on an engine since the previous row or change.
 struct WeightsChange {
   1: string id,
   2: list<WeightsVersion> put,
@@ -55,8 +56,8 @@
   4: list<WeightsVersion> loading,
 }
 
-// A lease: whose engines its holder leads, and under which number; revisions rise within
-// an era of the store.
+// A lease: the data centre whose engines its holder leads, and the fence; revisions
+// increase within an era of the store.
 struct LeaseRow {
   1: string data_centre,
   2: i64 fence,
@@ -64,7 +65,7 @@
   4: i64 era,
 }
 
-// Who leads the engines of a data centre, and where it hears followers.
+// The leader of a data centre's engines, and the address on which it serves its feed.
 struct LeaderRow {
   1: string data_centre,
   2: string vm,
@@ -73,15 +74,16 @@
   5: i64 fence,
 }
 
-// Units that an organisation asked for since the report before, and those granted.
+// Units that an organisation asked for since the previous report, and those granted.
 struct SpendingRow {
   1: string organisation,
   2: i64 asked,
   3: i64 granted,
 }
 
-// An organisation at its limit: which part of its requests may run, the units a second
-// that it asks for, and how long until it is below its limit.
+// The throttle of an organisation at its limit: ratio is the fraction of its requests
+// that can run, asked the units per second that it asks for, and wait the seconds until
+// it is below its limit.
 struct WordRow {
   1: string organisation,
   2: double ratio,
@@ -89,8 +91,9 @@
   4: double wait,
 }
 
-// A request was at an endpoint when that ended; life is that start of the endpoint,
-// answered tells that events had come. Seconds count back from the sending.
+// A request was at an endpoint when the endpoint ended. life is the incarnation of the
+// endpoint, answered says that events of the answer had arrived. Times are seconds before
+// the sending of the message.
 struct SightingRow {
   1: binary digest,
   2: i64 outline,
@@ -101,7 +104,7 @@
   7: i32 witness,
 }
 
-// A request ran well: what was seen of it before is void.
+// A request completed normally, which cancels its earlier sightings.
 struct ClearingRow {
   1: binary digest,
   2: i64 outline,
@@ -109,9 +112,9 @@
   4: i64 number,
 }
 
-// What one start of an endpoint has said of itself: that it leaves, how many seconds it
-// is to be left alone by the daemon that tells it, and the limit in force there, requests
-// a second, with its version and how many seconds a call waits there for its turn.
+// The notice of one incarnation of an endpoint: that it leaves, the seconds for which the
+// reporting daemon has to back off, and the rate limit in force, in requests per second,
+// with its version and the seconds that a call waits for a credit.
 struct NoticeRow {
   1: string endpoint,
   2: i64 born,
@@ -122,25 +125,25 @@
   7: double turn_wait,
 }
 
-// How many turns are wanted at an endpoint that names a limit, by urgency, as received
-// turns there had come over this connection.
+// The number of credits requested at a rate-limited endpoint, by urgency. received is the
+// number of its credits that had arrived over this connection by then.
 struct WantedRow {
   1: string endpoint,
   2: map<i32, i32> counts,
   3: i32 received,
 }
 
-// Turns that are lent at an endpoint: for how many seconds from the sending each lasts.
+// Credits issued at an endpoint: the seconds from the sending for which each is valid.
 struct TurnsRow {
   1: string endpoint,
   2: list<double> lasts,
 }
 
-// From a daemon to a leader; from a leader to another one it sums up its daemons.
-// store_age tells how long ago the store answered a renewal, read_age how long ago it
-// told this daemon itself of endpoints, seconds. stamp is the sender's own time, secret
-// what the digests of requests are taken under. follows tells that the sender reports
-// what is its own to this leader, and to no other.
+// From a daemon to a leader; a leader's report to another leader sums up its daemons.
+// store_age is the time since the store answered a lease renewal, read_age the time since
+// it answered a read of the endpoints to this daemon itself, in seconds. stamp is the
+// sender's time, secret the key of the digests of requests. follows says that the sender
+// reports its own requests to this leader, and to no other.
 struct Report {
   1: string vm,
   2: string data_centre,
@@ -165,14 +168,13 @@
   21: bool follows,
 }
 
-// From a leader to a daemon. Seconds count back from the sending. in_flight, unread,
-// daemons and leaders come with the regular updates only, not with those that a change
-// brings on, and so do words, where organisations have quotas. room is how many more
-// adapters the engines led could take. echo is the stamp of a report, and all that the
-// store had acknowledged known_by seconds after its arrival is known to the sender;
-// echo_age seconds after its arrival the update was sent.
-// secret is what the digests of requests are taken under; of sightings and clearings
-// each daemon is told once.
+// From a leader to a daemon. Ages are seconds before the sending. in_flight, unread,
+// daemons and leaders are set in regular updates only, not in those that a change
+// triggers, and so are words, if organisations have quotas. room is the number of
+// adapters that the engines led can still take. echo is the stamp of a report. The sender
+// knows all that the store had acknowledged known_by seconds after the arrival of that
+// report, and sent this update echo_age seconds after that arrival. secret is the key of
+// the digests of requests. Sightings and clearings are sent to each daemon once.
 struct Update {
   1: string leader,
   2: list<LeaseRow> leads,
--- a/src/kestreltally/knowledge/feed_client.py
+++ b/src/kestreltally/knowledge/feed_client.py
@@ -1,4 +1,4 @@
-"""A daemon's side of the feed: reports to a leader, and takes its updates in."""
+"""A daemon's side of the feed: sends reports to a leader and applies its updates."""
 
 import asyncio
 import logging
@@ -16,16 +16,16 @@
 LOG = logging.getLogger("kestreltally.feed")
 
 REPORT_INTERVAL: Final[Seconds] = 0.2
-# A request that waits for an adapter is told at once, but not more often than this.
+# A request that waits for an adapter is reported at once, within this minimum interval.
 MIN_REPORT_INTERVAL: Final[Seconds] = 0.02
-# A leader sends something at least every 0.2 s.
+# A leader sends an update at least every 0.2 s.
 FEED_SILENCE_TIMEOUT: Final[Seconds] = 0.7
 CONNECT_TIMEOUT: Final[Seconds] = 0.5
 RETRY_INTERVAL: Final[Seconds] = 0.1
 
 
 class FeedClient:
-    """Keeps a connection to the leader of one data centre, while that is wanted."""
+    """Maintains a connection to the leader of one data centre while it has one."""
 
     def __init__(
         self,
@@ -42,35 +42,35 @@
         self._clock = clock
         self._received_at: Seconds = float("-inf")
         self._expedite = asyncio.Event()
-        # Set from a look that found a leader to follow until none is.
+        # Set by wake_if_needed once a leader is known, cleared when none is.
         self._has_leader = asyncio.Event()
-        # Called when a connection to the leader begins.
+        # Called when a connection to the leader is established.
         self.record_connected: Callable[[str], None] = lambda _: None
-        # Called when the leader is heard, after it was not.
+        # Called on the first update of the leader after the feed was lost.
         self.record_received: Callable[[str], None] = lambda _: None
         self.store_age: Seconds = float("inf")
         self.load_wait: Seconds = float("inf")
         self.free_capacity = 0
 
     def is_alive(self) -> bool:
-        """Tell whether the leader's feed has been heard within its usual time."""
+        """Return whether an update arrived within the silence timeout."""
         return self._clock() - self._received_at < FEED_SILENCE_TIMEOUT
 
     def can_load_within(self, wait: Seconds) -> bool:
-        """Tell whether the leader is heard, and loads take less than so long there."""
+        """Return whether the leader is reachable and reports a shorter load wait."""
         return self.is_alive() and self.load_wait < wait
 
     def expedite(self) -> None:
-        """Have the next report sent at once."""
+        """Send the next report at once."""
         self._expedite.set()
 
     def wake_if_needed(self) -> None:
-        """Begin to follow, if a leader is to be followed and is not yet."""
+        """Start to follow if there is a leader to follow."""
         if not self._has_leader.is_set() and self._find_leader(self.data_centre):
             self._has_leader.set()
 
     async def run(self) -> None:
-        """Follow the leader for ever, whenever there is one to follow."""
+        """Follow the leader whenever there is one; runs forever."""
         while True:
             await self._has_leader.wait()
             address = self._find_leader(self.data_centre)
--- a/src/kestreltally/knowledge/feed_parts.py
+++ b/src/kestreltally/knowledge/feed_parts.py
@@ -1,6 +1,6 @@
-"""The parts of the feed: what each tells is put into messages, and taken from them.
+"""Parts of the feed, which fill fields of its messages and apply them.
 
-To add one: subclass ``FeedPart``, and name it in the list in ``exchange.py``.
+To add a part, subclass ``FeedPart`` and list it in ``exchange.py``.
 """
 
 from dataclasses import dataclass
@@ -12,11 +12,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ReceivedUpdate:
-    """An update of a leader, and how to take it.
+    """An update of a leader, and the context in which to apply it.
 
-    ``data_centre`` is the one whose leader was asked for it, ``led_data_centres`` are those that it
-    leads, and it tells what the store held at ``as_of``, by this daemon's clock.
-    ``followed`` tells that this daemon follows it.
+    ``data_centre`` is the one whose leader this daemon is connected to, and
+    ``led_data_centres`` are those that the sender leads. The rows reflect the store as
+    of ``as_of``, by this daemon's clock. ``followed`` says that this daemon follows the
+    sender.
     """
 
     update: Any
@@ -27,16 +28,16 @@
 
 
 class FeedPart:
-    """What one part tells and takes; each does what it needs of these."""
+    """Base class of the parts; each overrides the methods that it needs."""
 
     def fill_report(self, report: Any, data_centre: str) -> None:
-        """Put this part's own into a report to the leader of a data centre."""
+        """Fill the part's fields of a report to the leader of a data centre."""
 
     def apply_report(self, peer: Peer, report: Any) -> None:
-        """Take in what a daemon, or another leader for its daemons, reports."""
+        """Apply the part's fields of a report by a daemon or another leader."""
 
     def fill_update(self, update: Any, peer: Peer) -> None:
-        """Put this part's own into an update for a daemon, as a leader."""
+        """Fill the part's fields of an update for a daemon, as a leader."""
 
     def apply_update(self, received: ReceivedUpdate) -> None:
-        """Take in what a leader tells."""
+        """Apply the part's fields of a leader's update."""
--- a/src/kestreltally/knowledge/fleet_rows.py
+++ b/src/kestreltally/knowledge/fleet_rows.py
@@ -1,4 +1,4 @@
-"""The rows of endpoints and versions: taken from leaders and from the store."""
+"""Maintains the rows of endpoints and versions from leaders and the store."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -21,10 +21,10 @@
 
 
 class FleetRows(FeedPart):
-    """Keeps the fleet's tables as leaders and the store tell them.
+    """Keeps the fleet's tables in line with leaders' updates and the store.
 
-    ``get_leader`` returns this daemon's own leader, none while the daemon is being put
-    together; ``expedite`` has what changed told to followers.
+    ``get_leader`` returns this daemon's own leader, None while the daemon is being
+    constructed; ``expedite`` sends changes to followers at once.
     """
 
     def __init__(
@@ -46,10 +46,10 @@
         self._clock = clock
         self.tombstones = Tombstones()
 
-    # What leaders tell.
+    # Updates of leaders.
 
     def apply_update(self, received: ReceivedUpdate) -> None:
-        """Take in rows, changes of what is held, what is gone, and versions."""
+        """Apply rows, changes of weights, removals and versions of an update."""
         update = received.update
         if update.whole:
             present = {each.id for each in update.rows or ()}
@@ -70,10 +70,10 @@
     def _drop_missing(
         self, present: set[str], led_data_centres: frozenset[str], as_of: Seconds
     ) -> None:
-        """Forget what a whole update does not name, as far as its sender leads it.
+        """Remove endpoints that a full update lacks, as far as its sender leads them.
 
-        One that names nothing comes from a leader that has just started, maybe while
-        entries had lapsed: what is known here is better.
+        An empty update is ignored: it comes from a leader that has just started, maybe
+        while entries of the store had expired, so the rows known already are better.
         """
         if not present:
             return
@@ -85,7 +85,7 @@
                 self.drop_row(endpoint.id, as_of)
 
     def put_row(self, endpoint: Endpoint) -> None:
-        """Take a row in, wake who waits for its weights, and feed it to followers."""
+        """Store a row, wake requests for its weights, and send it to followers."""
         known = self._fleet.endpoints.get(endpoint.id)
         if known is not None and not self._replace_incarnation(known, endpoint):
             return
@@ -95,10 +95,10 @@
             self._expedite()
 
     def _replace_incarnation(self, known: Endpoint, endpoint: Endpoint) -> bool:
-        """Let go of an engine's earlier life; tell whether a row is not of one.
+        """Remove an earlier incarnation of an engine; return whether a row is current.
 
-        An engine that starts again under its id holds nothing of before, and a word on
-        its earlier life may come late.
+        An engine that restarts under its id has none of its previous weights, and a row
+        of an earlier incarnation may arrive late.
         """
         if not is_other_life(known.born, endpoint.born):
             return True
@@ -111,7 +111,7 @@
         return True
 
     def drop_row(self, endpoint: EndpointId, as_of: Seconds) -> None:
-        """Forget an endpoint that is gone, by what the store held at a moment."""
+        """Remove an endpoint that is missing in the store as of a time."""
         known = self._fleet.endpoints.get(endpoint)
         if known is not None:
             self.tombstones.record(known, as_of)
@@ -126,17 +126,17 @@
             self._expedite()
 
     def apply_version(self, key: WeightsKey, number: int) -> None:
-        """Take the newest version of some weights in."""
+        """Apply the newest version of some weights."""
         if (
             self._fleet.apply_version(key, number, self._clock())
             and self._leaders.leads
         ):
             self._expedite()
 
-    # What the store tells.
+    # Entries of the store.
 
     def put_entry(self, endpoint: Endpoint) -> None:
-        """Take an endpoint's entry of the store in, where no leader knows better."""
+        """Apply an endpoint's entry of the store unless a leader has newer data."""
         self.tombstones.remove(endpoint.id)
         lease = self._get_lease(endpoint)
         leader = self._get_leader()
@@ -152,13 +152,13 @@
             self.put_row(endpoint)
 
     def drop_entry(self, endpoint: EndpointId) -> None:
-        """Forget an endpoint that the store no longer lists."""
+        """Remove an endpoint that the store no longer lists."""
         self.drop_row(endpoint, self._clock())
 
     def expire_leader_state(self) -> None:
-        """Drop what only a leader could tell that is no longer heard.
+        """Drop state of endpoints that only an unreachable leader could report.
 
-        Its loads may be brought by another one, and what it spared may be used.
+        Another leader may order its loads, and its quarantined endpoints are usable.
         """
         if not self._leaders.leads and self._leaders.find_primary() is not None:
             return
--- a/src/kestreltally/knowledge/frames.py
+++ b/src/kestreltally/knowledge/frames.py
@@ -1,8 +1,8 @@
-"""Thrift structs on a TCP connection between two daemons, deflated as one stream.
+"""Sends Thrift structs over a TCP connection between two daemons, compressed.
 
-Each frame is a length and the deflated bytes of one struct. All frames of a direction
-share one deflate stream: what daemons tell each other repeats the same names, and
-bytes between data centres are dear.
+Each frame is a length and the compressed bytes of one struct. All frames of a direction
+share one deflate stream, as messages repeat the same names, and traffic between data
+centres is expensive.
 """
 
 import asyncio
@@ -14,21 +14,21 @@
 from thriftpy2.utils import deserialize, serialize
 
 LENGTH_BYTES: Final = 4
-# A whole list of 3,300 engines with nine adapters each is some 2 MB.
+# A full list of 3,300 engines with nine adapters each takes about 2 MB.
 MAX_FRAME_BYTES: Final = 2**24
-# A window of 4 KiB spans some dozen updates; with it a stream keeps 32 KiB of state,
-# which a leader of several hundred daemons can afford.
+# A window of 4 KiB covers about a dozen updates. A stream then has 32 KiB of state,
+# which is acceptable for a leader of several hundred daemons.
 WINDOW_BITS: Final = -12
 MEMORY_LEVEL: Final = 5
 _PROTOCOL: Final = TCyBinaryProtocolFactory()
 
 
 class MalformedFrame(ValueError):
-    """The peer sent something else than a frame of the expected type."""
+    """The peer sent something other than a frame of the expected type."""
 
 
 class FrameStream:
-    """Frames in both directions on one connection."""
+    """Sends and receives frames on one connection."""
 
     def __init__(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -40,7 +40,7 @@
 
     @property
     def unsent(self) -> int:
-        """Return how many bytes wait for the peer to read."""
+        """Return the number of bytes buffered until the peer reads them."""
         return self._writer.transport.get_write_buffer_size()
 
     def send(self, message: Any) -> None:
@@ -53,21 +53,23 @@
         """Read a struct; raises ``MalformedFrame`` or ``IncompleteReadError``."""
         length = int.from_bytes(await self._reader.readexactly(LENGTH_BYTES), "big")
         if length > MAX_FRAME_BYTES:
-            raise MalformedFrame(f"a frame of {length} bytes")
+            raise MalformedFrame(
+                f"frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES} bytes"
+            )
         compressed = await self._reader.readexactly(length)
         try:
             payload = self._inflater.decompress(compressed, MAX_FRAME_BYTES)
             if not payload:
-                # Even a struct without any field has its end mark.
-                raise MalformedFrame("an empty frame")
+                # Even a struct without fields has a stop byte.
+                raise MalformedFrame("frame has no content")
             return deserialize(expected(), payload, _PROTOCOL)
         except (TException, EOFError, ValueError, TypeError, zlib.error) as error:
             raise MalformedFrame(repr(error)) from error
 
     def close(self) -> None:
-        """Close after what was written has been sent."""
+        """Close the connection once buffered data is sent."""
         self._writer.close()
 
     def abort(self) -> None:
-        """Close at once, dropping what has not been sent."""
+        """Close the connection at once, and drop buffered data."""
         self._writer.transport.abort()
--- a/src/kestreltally/knowledge/group.py
+++ b/src/kestreltally/knowledge/group.py
@@ -1,4 +1,4 @@
-"""What the daemons of a leader's group told: booked there, or kept for others."""
+"""Aggregates the reports of a leader's group, for itself and for other leaders."""
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable, Mapping
@@ -29,11 +29,11 @@
 
 
 class GroupAggregator:
-    """Takes in what daemons that follow this leader, or other leaders, tell.
+    """Applies the reports of this leader's followers and of other leaders.
 
-    What concerns engines led here is handed to the leader and the ledger; the rest is
-    kept for the leaders of those engines until they are told. ``get_leader`` returns
-    this daemon's own leader, none while the daemon is being put together.
+    Data on engines that this daemon leads goes to its leader and ledger; other data is
+    kept for the leaders of those engines until it is reported. ``get_leader`` returns
+    this daemon's own leader, None while the daemon is being constructed.
     """
 
     def __init__(
@@ -51,28 +51,28 @@
         self._get_leader = get_leader
         self._get_lease = get_lease
         self._clock = clock
-        # What this group's organisations spent, for the leaders of the others.
+        # Units spent through this group by organisation, for the other leaders.
         self._spendings = {name: SpendingCounter() for name in leases}
         self._refused: dict[str, set[Use]] = {name: set() for name in leases}
         # How requests of this group ended, for the leaders of the endpoints.
         self._outcomes = {name: OutcomeCounter() for name in leases}
-        # Requests of this group for weights that only engines elsewhere hold, by the
-        # data centre whose leader must know how much they are used.
+        # Requests of this group for weights that only engines of other data centres
+        # hold, by the data centre whose leader needs to know how much they are used.
         self._served_remotely: dict[str, dict[tuple[ServiceName, WeightsKey], int]] = {
             name: defaultdict(int) for name in leases
         }
 
-    # What is told.
+    # Received reports.
 
     def apply_spendings(self, spendings: list[Spending], *, of_group: bool) -> None:
-        """Book what organisations spent; this group's is for the other leaders too."""
+        """Record units spent; those of this group are kept for other leaders too."""
         self._ledger.record(spendings, self._clock())
         if of_group:
             for counter in self._spendings.values():
                 counter.add(spendings)
 
     def apply_outcomes(self, outcomes: Iterable[Outcome]) -> None:
-        """Judge endpoints led here by how requests ended; keep others' for theirs."""
+        """Score local endpoints by outcomes; keep those of others for their leaders."""
         leader = self._get_leader()
         if leader is None:
             return
@@ -90,7 +90,7 @@
     def apply_demand(
         self, vm: str, data_centre: str, reported: list[WeightsDemand]
     ) -> None:
-        """Book demand here, and for the leaders whose engines will serve it."""
+        """Record demand, also for the leaders whose engines will serve it."""
         leader = self._get_leader()
         if leader is None:
             return
@@ -111,7 +111,7 @@
             self._served_remotely[name][(demand.service, demand.key)] += demand.arrivals
 
     def record_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
-        """Book a refusal here, or keep it for the leader of the engine."""
+        """Record a refusal, or keep it for the leader of the engine."""
         leader = self._get_leader()
         known = self._fleet.endpoints.get(endpoint)
         if known is None or leader is None:
@@ -121,14 +121,14 @@
         elif known.data_centre in self._refused:
             self._refused[known.data_centre].add((endpoint, key))
 
-    # What another leader is told.
+    # Reports to other leaders.
 
     def fill_report(
         self, report: Any, data_centre: str, handed_over: list[WeightsDemand]
     ) -> None:
-        """Put what concerns a data centre's leader into a report, once.
+        """Move the data kept for a data centre's leader into a report.
 
-        ``handed_over`` is the demand that it is to meet for this group.
+        ``handed_over`` is the demand that it is asked to serve for this group.
         """
         refused, self._refused[data_centre] = self._refused[data_centre], set()
         report.refused = [encode_use(e, key, 1) for e, key in refused]
--- a/src/kestreltally/knowledge/idl.py
+++ b/src/kestreltally/knowledge/idl.py
@@ -1,7 +1,7 @@
-"""Writes ``structs.py`` from ``feed.thrift``: ``python -m kestreltally.knowledge.idl``.
+"""Generates ``structs.py`` from ``feed.thrift``.
 
-A daemon that reads the IDL itself builds a parser for it first, an eighth of what its
-start takes.
+Run it as ``python -m kestreltally.knowledge.idl``. Daemons import the generated module,
+as parsing the IDL, for which a parser is built first, took an eighth of their start.
 """
 
 from pathlib import Path
@@ -38,7 +38,7 @@
 
 
 def render_structs() -> str:
-    """Return the text of ``structs.py``."""
+    """Return the source of ``structs.py``."""
     idl = thriftpy2.load(str(IDL_PATH), module_name="feed_thrift")
     structs = idl.__thrift_meta__["structs"]
     return "\n\n".join([HEAD.rstrip("\n"), *(_render(each) for each in structs)]) + "\n"
@@ -64,14 +64,14 @@
 
 
 def _render_field(field: tuple[Any, ...]) -> str:
-    """Return a field's type, name, what it holds, and that it may miss."""
+    """Return a field's type, name, element types, and that it is optional."""
     kind, name, *rest = field
     elements = f", {_render_elements(rest[0])}" if len(rest) > 1 else ""
     return f"({_name_type(kind)}, {name!r}{elements}, {rest[-1]!r})"
 
 
 def _render_elements(elements: Any) -> str:
-    """Return what a list, a map or a field of a struct holds."""
+    """Return the element types of a list or a map, or the name of a struct."""
     if isinstance(elements, tuple):
         return "(" + ", ".join(_render_elements(each) for each in elements) + ")"
     return elements.__name__ if isinstance(elements, type) else _name_type(elements)
--- a/src/kestreltally/knowledge/leaders.py
+++ b/src/kestreltally/knowledge/leaders.py
@@ -1,4 +1,4 @@
-"""Who leads the engines of each data centre, and whom this daemon follows."""
+"""Tracks the leader of each data centre, and which leader this daemon follows."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -9,25 +9,25 @@
 from kestreltally.knowledge.updates import KnownLeader
 from kestreltally.placing.lease import Lease
 
-# A leader whose own knowledge of endpoints is older than this is not relied upon.
+# A leader whose knowledge of endpoints is older than this is not relied upon.
 MAX_FEED_AGE: Final[Seconds] = 1.0
 
 
 class Leaders:
-    """What is known of leaders, by the leases here, the store and other leaders' word.
+    """The known leaders, by own leases, the store, and the reports of other leaders.
 
-    ``clients`` follow the leader of each data centre; they are given once made.
+    ``clients`` follow the leader of each data centre; they are assigned later.
     """
 
     def __init__(self, deployment: Deployment, leases: Mapping[str, Lease]) -> None:
         self._deployment = deployment
         self._leases = leases
         self.clients: Mapping[str, FeedClient] = {}
-        # What leaders tell of each other, by data centre.
+        # The leaders that other leaders reported, by data centre.
         self._reported: dict[str, KnownLeader] = {}
 
     def record_reported(self, data_centre: str, leader: KnownLeader) -> None:
-        """Take in a leader's word on who leads a data centre."""
+        """Record the leader of a data centre that another leader reports."""
         known = self._reported.get(data_centre)
         newer = known is None or known.fence < leader.fence
         if data_centre in self._leases and newer:
@@ -35,24 +35,24 @@
 
     @property
     def leads(self) -> bool:
-        """Tell whether this daemon holds any lease."""
+        """Return whether this daemon holds any lease."""
         return any(lease.leads for lease in self._leases.values())
 
     def is_reachable(self, data_centre: str) -> bool:
-        """Tell whether the leader of a data centre is heard, or is this daemon."""
+        """Return whether the leader of a data centre is reachable, or this daemon."""
         return self._leases[data_centre].leads or self.clients[data_centre].is_alive()
 
     def should_poll(self, lease: Lease) -> bool:
-        """Tell whether a lease is to be looked at in the store."""
+        """Return whether to poll a lease in the store."""
         if self.is_reachable(lease.data_centre):
             return False
         local = self._deployment.data_centre
         return lease.data_centre == local or self.leads or not self.is_reachable(local)
 
     def find_primary(self) -> str | None:
-        """Return the data centre whose leader this daemon follows, if it leads none.
+        """Return the data centre whose leader this daemon follows if it does not lead.
 
-        That is the own one, unless only another's knows what the store holds now.
+        This is the local data centre, unless only another one has a fresh leader.
         """
         local = self._deployment.data_centre
         names = [local, *(name for name in self.clients if name != local)]
@@ -61,16 +61,19 @@
         return next(fresh, alive[0] if alive else None)
 
     def is_fresh(self, data_centre: str) -> bool:
-        """Tell whether a leader is heard that knows what the store holds now."""
+        """Return whether a leader is reachable whose view of the store is fresh."""
         client = self.clients[data_centre]
         return client.is_alive() and client.store_age < MAX_FEED_AGE
 
     def has_fresh_feed(self) -> bool:
-        """Tell whether a leader's fresh knowledge of endpoints reaches this daemon."""
+        """Return whether the feed of any fresh leader reaches this daemon."""
         return any(self.is_fresh(name) for name in self.clients)
 
     def find_known_leader(self, data_centre: str) -> KnownLeader | None:
-        """Return who leads a data centre, by the store or by another leader's word."""
+        """Return the leader of a data centre, by the store or another leader's report.
+
+        The one with the higher fence is returned.
+        """
         reported = self._reported.get(data_centre)
         record = self._leases[data_centre].record
         if record is None or (reported is not None and reported.fence > record.fence):
@@ -81,7 +84,7 @@
         return KnownLeader(record.holder, address, record.fence)
 
     def list_reachable(self) -> dict[str, KnownLeader]:
-        """Return the leaders that are heard, this daemon among them."""
+        """Return the reachable leaders, including this daemon."""
         known = {
             name: self.find_known_leader(name)
             for name in self._leases
@@ -90,7 +93,7 @@
         return {name: each for name, each in known.items() if each is not None}
 
     def find_address(self, data_centre: str) -> Listening | None:
-        """Return the address of a leader to follow, if it is to be followed."""
+        """Return the address of the leader if this daemon should follow it."""
         known = self.find_known_leader(data_centre)
         if known is None or known.vm == self._deployment.vm:
             return None
@@ -102,6 +105,6 @@
         return known.address
 
     def follow(self) -> None:
-        """Begin to follow the leaders that are to be followed now."""
+        """Start to follow the leaders that this daemon should follow now."""
         for client in self.clients.values():
             client.wake_if_needed()
--- a/src/kestreltally/knowledge/notices.py
+++ b/src/kestreltally/knowledge/notices.py
@@ -1,4 +1,4 @@
-"""What endpoints say of themselves, as daemons report it to leaders."""
+"""Reports the notices of endpoints to leaders."""
 
 from collections.abc import Callable
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class NoticeExchange(FeedPart):
-    """Reports what was heard here, and takes in, as a leader, what others heard."""
+    """Reports the notices in force, and applies those of other daemons as a leader."""
 
     def __init__(
         self,
@@ -25,12 +25,12 @@
         self._clock = clock
 
     def fill_report(self, report: Any, data_centre: str) -> None:
-        """Put in all that is in force."""
+        """Add the notices in force to a report."""
         known = self._notices.list_known(self._clock())
         report.notices = [encode_notice(each) for each in known]
 
     def apply_report(self, peer: Peer, report: Any) -> None:
-        """Take in, as a leader, what a daemon heard."""
+        """Apply the notices of a report, as a leader."""
         if self._leaders.leads:
             received = [decode_notice(each) for each in report.notices or ()]
             self._notices.take_told(received, self._clock())
--- a/src/kestreltally/knowledge/peer.py
+++ b/src/kestreltally/knowledge/peer.py
@@ -1,4 +1,4 @@
-"""A daemon that is connected to this one's feed."""
+"""State of a daemon that is connected to this daemon's feed."""
 
 from dataclasses import dataclass, field
 
@@ -11,10 +11,10 @@
 
 @dataclass(slots=True, eq=False)
 class Peer:
-    """A daemon that is connected; ``leads`` is not empty for another leader.
+    """A connected daemon; ``leads`` is not empty for another leader.
 
-    ``follows`` tells that it follows this leader: where no leader knows what the store
-    holds, a daemon is connected to all of them, and follows one.
+    ``follows`` says that it follows this leader: while no leader has a fresh view of
+    the store, a daemon connects to all leaders but follows only one.
     """
 
     stream: FrameStream
@@ -30,12 +30,12 @@
     uses: dict[tuple[EndpointId, WeightsKey], int] = field(default_factory=dict)
     store_answered_at: Seconds = float("-inf")
     store_read_at: Seconds = float("-inf")
-    # The last report's own time, and when it arrived here.
+    # The sender's time in the last report, and when that report arrived.
     stamp: Seconds | None = None
     stamp_received_at: Seconds = 0.0
     sent_configuration: int = 0
     configuration_sent_at: Seconds = float("-inf")
-    # Up to where it was told what is known of requests at ends.
+    # Position in the list of poison facts up to which they were sent to this peer.
     sent_facts_position: int = 0
-    # The turns that it wants, and those lent to it.
+    # The credits that it requests, and those issued to it.
     credit_holder: Borrower = field(default_factory=Borrower)
--- a/src/kestreltally/knowledge/poison_exchange.py
+++ b/src/kestreltally/knowledge/poison_exchange.py
@@ -1,8 +1,8 @@
-"""What daemons tell each other of requests that were at ends of endpoints.
+"""Exchanges facts on suspected poison requests over the feed.
 
-A daemon reports what it saw to the leader it follows; leaders tell all that they have
-been told to whoever is connected, once. So each fact reaches all daemons, by whichever
-leaders there are.
+A fact says which request was at an endpoint when the endpoint ended. A daemon reports
+what it observed to the leader it follows, and leaders send each reported fact once to
+every connected daemon. So facts reach all daemons through whichever leaders there are.
 """
 
 import asyncio
@@ -17,14 +17,15 @@
 from kestreltally.knowledge.rows import decode_facts, encode_facts
 from kestreltally.poison.guard import PoisonGuard
 
-# A leader that is heard anew gets what it does not know within this time.
+# Range of the random delay after which a newly reachable leader gets the facts that it
+# does not have.
 REMAINING_FACTS_DELAY: Final[tuple[Seconds, Seconds]] = (0.2, 1.0)
 
 
 class PoisonExchange(FeedPart):
-    """Puts facts and the digests' secret into reports and updates, and takes them in.
+    """Sends and applies facts, and the secret under which digests are computed.
 
-    ``expedite`` has this daemon's news told at once, to followers or to the leader.
+    ``expedite`` sends new facts at once, to the followers or to the leader.
     """
 
     def __init__(
@@ -41,18 +42,18 @@
         poison.register.notify_change = expedite
 
     def get_leader_secret(self) -> bytes:
-        """Return the secret that a leader tells, empty where there is none yet."""
+        """Return the secret that a leader sends, empty if there is none yet."""
         return self._poison.secret.lead()
 
     def fill_report(self, report: Any, data_centre: str) -> None:
-        """Put in the secret, and what the leader that is followed still lacks."""
+        """Add the secret, and the facts that the followed leader lacks, to a report."""
         report.secret = self._poison.secret.value
         if report.follows:
             facts = self._poison.register.news.list_unheard()
             encode_facts(report, facts, self._clock())
 
     def apply_report(self, peer: Peer, report: Any) -> None:
-        """Take in the secret, and, as a leader, what a daemon has seen."""
+        """Apply the secret and, as a leader, the facts of a report."""
         self._poison.secret.take(report.secret)
         if not self._leaders.leads:
             return
@@ -60,7 +61,7 @@
             self._expedite()
 
     def fill_update(self, update: Any, peer: Peer) -> None:
-        """Put in what the daemon has not been told yet."""
+        """Add the facts that were not sent to the daemon yet."""
         news = self._poison.register.news
         if peer.sent_facts_position != news.position:
             facts = news.list_since(peer.sent_facts_position)
@@ -68,7 +69,7 @@
         peer.sent_facts_position = news.position
 
     def apply_update(self, received: ReceivedUpdate) -> None:
-        """Take in the secret, and what a leader was told."""
+        """Apply the secret and the facts of an update."""
         self._poison.secret.take(received.update.secret)
         facts = decode_facts(received.update, self._clock())
         if not facts:
@@ -79,10 +80,10 @@
             self._expedite()
 
     def record_leader_contact(self, _: str) -> None:
-        """Have a leader that is heard anew told what this daemon knows.
+        """Report the known facts to a leader that has become reachable.
 
-        Each daemon waits a drawn time with what others saw: the first one's telling is
-        told back, and spares the rest theirs.
+        Each daemon waits a random time before it reports the facts of others: the
+        leader echoes those of the first daemon, so that the others can omit them.
         """
         news = self._poison.register.news
         news.begin_telling()
--- a/src/kestreltally/knowledge/rows.py
+++ b/src/kestreltally/knowledge/rows.py
@@ -1,4 +1,4 @@
-"""Translates between the tables' types and the structs of the feed."""
+"""Converts between the types of the tables and the structs of the feed."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -37,12 +37,12 @@
 
 
 def encode_weights(key: WeightsKey, version: int) -> Any:
-    """Return the struct of some weights' version."""
+    """Return the struct of a version of weights."""
     return WeightsVersion(model=key.model, adapter=key.adapter, version=version)
 
 
 def decode_weights(row: Any) -> tuple[WeightsKey, int]:
-    """Return some weights and their version."""
+    """Return the weights and the version of a struct."""
     return WeightsKey(row.model, row.adapter), row.version
 
 
@@ -81,7 +81,7 @@
 
 
 def encode_demand(demand: WeightsDemand) -> Any:
-    """Return the struct of a demand."""
+    """Return the struct of demand for weights."""
     return DemandRow(
         service_name=demand.service,
         model=demand.key.model,
@@ -113,12 +113,12 @@
 
 
 def decode_use(row: Any) -> tuple[EndpointId, WeightsKey, int]:
-    """Return an engine, weights on it, and how many requests use them."""
+    """Return an engine, weights on it, and the number of requests that use them."""
     return EndpointId(row.endpoint), WeightsKey(row.model, row.adapter), row.count
 
 
 def encode_notice(notice: KnownNotice) -> Any:
-    """Return the struct of what an endpoint said of itself."""
+    """Return the struct of an endpoint's notice."""
     return NoticeRow(
         endpoint=notice.endpoint,
         born=notice.born,
@@ -131,7 +131,7 @@
 
 
 def decode_notice(row: Any) -> KnownNotice:
-    """Return what an endpoint said of itself."""
+    """Return the notice of a struct."""
     return KnownNotice(
         endpoint=EndpointId(row.endpoint),
         born=row.born or 0,
@@ -144,13 +144,13 @@
 
 
 def encode_occupancy(message: Any, occupancy: Fullness) -> None:
-    """Put how full endpoints are into a report or an update."""
+    """Fill the occupancy of endpoints into a report or an update."""
     message.in_flight = dict(occupancy.in_flight)
     message.unread = dict(occupancy.unread)
 
 
 def decode_occupancy(message: Any) -> Fullness:
-    """Return how full endpoints are by a report or an update."""
+    """Return the occupancy of endpoints in a report or an update."""
     return Fullness(
         in_flight={EndpointId(k): v for k, v in (message.in_flight or {}).items()},
         unread={EndpointId(k): v for k, v in (message.unread or {}).items()},
@@ -158,7 +158,7 @@
 
 
 def encode_outcomes(outcomes: Iterable[Outcome]) -> list[Any]:
-    """Return the structs of how requests ended."""
+    """Return the structs of request outcomes."""
     return [
         OutcomeRow(endpoint=each.endpoint, whole=each.whole, failed=each.failed)
         for each in outcomes
@@ -166,12 +166,12 @@
 
 
 def decode_outcome(row: Any) -> Outcome:
-    """Return how requests ended at an endpoint."""
+    """Return the request outcomes of a struct."""
     return Outcome(EndpointId(row.endpoint), row.whole, row.failed)
 
 
 def encode_change(before: Endpoint, after: Endpoint) -> Any:
-    """Return the struct of how an engine's weights changed."""
+    """Return the struct of a change of an engine's weights."""
     put = [
         encode_weights(key, version)
         for key, version in after.weights.items()
@@ -199,13 +199,13 @@
 
 
 def differs_in_weights_only(before: Endpoint, after: Endpoint) -> bool:
-    """Tell whether a change of weights tells all that is new of an endpoint."""
+    """Return whether two rows of an endpoint differ in their weights at most."""
     same = replace(before, weights=after.weights, loading=after.loading)
     return same == after
 
 
 def encode_spending(spending: Spending) -> Any:
-    """Return the struct of what an organisation was granted."""
+    """Return the struct of units that an organisation asked for and was granted."""
     return SpendingRow(
         organisation=spending.organisation,
         asked=spending.asked,
@@ -214,12 +214,12 @@
 
 
 def decode_spending(row: Any) -> Spending:
-    """Return what an organisation was granted."""
+    """Return the spending of a struct."""
     return Spending(OrganisationName(row.organisation), row.asked, row.granted)
 
 
 def encode_throttle(throttle: Word) -> Any:
-    """Return the struct of the word on an organisation at its limit."""
+    """Return the struct of the throttle of an organisation at its limit."""
     return WordRow(
         organisation=throttle.organisation,
         ratio=throttle.ratio,
@@ -229,24 +229,24 @@
 
 
 def decode_throttle(row: Any) -> Word:
-    """Return the word on an organisation at its limit."""
+    """Return the throttle of a struct."""
     return Word(OrganisationName(row.organisation), row.ratio, row.asked, row.wait)
 
 
 def encode_requested(
     endpoint: EndpointId, requested: dict[int, int], received: int
 ) -> Any:
-    """Return the struct of turns wanted at an endpoint, by urgency."""
+    """Return the struct of credits requested at an endpoint, by urgency."""
     return WantedRow(endpoint=endpoint, counts=requested, received=received)
 
 
 def encode_credits(endpoint: EndpointId, lasts: list[Seconds]) -> Any:
-    """Return the struct of turns lent at an endpoint, by how long each lasts."""
+    """Return the struct of credits issued at an endpoint, by remaining seconds."""
     return TurnsRow(endpoint=endpoint, lasts=lasts)
 
 
 def encode_facts(message: Any, facts: Iterable[Fact], now: Seconds) -> None:
-    """Put what is known of requests at ends into a report or an update."""
+    """Fill poison facts into a report or an update."""
     message.sightings = []
     message.clearings = []
     for fact in facts:
@@ -278,7 +278,7 @@
 
 
 def decode_facts(message: Any, now: Seconds) -> list[Fact]:
-    """Return what a report or an update tells of requests at ends."""
+    """Return the poison facts of a report or an update."""
     facts: list[Fact] = [
         Sighting(
             fingerprint=Fingerprint(row.outline, Digest(row.digest)),
--- a/src/kestreltally/knowledge/tombstones.py
+++ b/src/kestreltally/knowledge/tombstones.py
@@ -1,7 +1,7 @@
-"""Endpoints that are gone, so that older word brings none of them back.
+"""Tombstones of removed endpoints, so that older updates do not restore them.
 
-A leader that has lost the store still tells of endpoints that have gone since, to who
-connects to it. What it tells is as old as its last answer of the store.
+A leader that has lost the store still sends endpoints that were removed since to
+daemons that connect to it. Its rows are as old as the last answer of the store to it.
 """
 
 from dataclasses import dataclass
@@ -9,41 +9,41 @@
 
 from kestreltally.fleet.model import Endpoint, EndpointId, Seconds, is_other_life
 
-# A leader that alone has lost the store resigns long before.
+# A leader that is the only one to lose the store resigns long before this.
 RETENTION: Final[Seconds] = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Tombstone:
-    """The start of an endpoint that is gone, by what the store held at a moment."""
+    """A removed incarnation of an endpoint, as of a state of the store."""
 
     born: int
     as_of: Seconds
 
 
 class Tombstones:
-    """The endpoints that were dropped lately."""
+    """The endpoints that were removed recently."""
 
     def __init__(self) -> None:
         self._rows: dict[EndpointId, _Tombstone] = {}
 
     def record(self, endpoint: Endpoint, as_of: Seconds) -> None:
-        """Note that an endpoint is gone by what the store held at a moment."""
+        """Record that an endpoint is missing in the store as of a time."""
         self._rows[endpoint.id] = _Tombstone(endpoint.born, as_of)
 
     def is_removed(self, endpoint: Endpoint, as_of: Seconds) -> bool:
-        """Tell whether word on an endpoint, of a moment, is older than its end."""
+        """Return whether a row as of a time predates the removal of its endpoint."""
         row = self._rows.get(endpoint.id)
         if row is None or is_other_life(row.born, endpoint.born):
             return False
         return as_of <= row.as_of
 
     def remove(self, endpoint: EndpointId) -> None:
-        """Forget that an endpoint was gone: the store lists it."""
+        """Remove the tombstone of an endpoint that the store lists."""
         self._rows.pop(endpoint, None)
 
     def prune_old(self, now: Seconds) -> None:
-        """Drop what was noted long ago."""
+        """Remove tombstones older than the retention period."""
         for name, row in list(self._rows.items()):
             if now - row.as_of >= RETENTION:
                 del self._rows[name]
--- a/src/kestreltally/knowledge/updates.py
+++ b/src/kestreltally/knowledge/updates.py
@@ -1,7 +1,7 @@
-"""What a leader tells each other daemon: what changed since it was last told.
+"""Builds a leader's updates: the changes since the last update to each daemon.
 
-Daemons that were last told the same are told the same now: the difference of two
-snapshots is worked out once a round, however many daemons follow.
+Daemons that were last sent the same snapshot get the same changes: the difference of
+two snapshots is computed once in a round, however many daemons follow.
 """
 
 from collections.abc import Callable, Mapping
@@ -19,7 +19,7 @@
 from kestreltally.knowledge.structs import LeaderRow, LeaseRow, Update
 from kestreltally.platform.store import NO_ERA, Revision
 
-# Stands for "never" in what daemons tell each other.
+# Age that stands for "never" in messages of the feed, seconds.
 AGE_UNKNOWN: Final[Seconds] = 1e6
 
 Rows = Mapping[EndpointId, Endpoint]
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LedDataCentre:
-    """A lease that is held, or was resigned, with its number and revision."""
+    """A lease that is held or was resigned, with its fence and revision."""
 
     data_centre: str
     fence: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownLeader:
-    """Who leads the engines of a data centre, under which number, and its address."""
+    """The leader of a data centre's engines, with its address and fence."""
 
     vm: str
     address: Listening
@@ -46,11 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderState:
-    """What each update tells besides rows.
+    """The fields of an update besides rows.
 
-    ``load_wait`` is how long a load takes from now, ``free_capacity`` how many more adapters
-    the engines led could take. All that the store had acknowledged at ``known_at`` is
-    known here; where keys are not checked, none.
+    ``load_wait`` is the time until a load that is requested now completes, and
+    ``free_capacity`` the number of adapters that the engines led can still take. All
+    writes that the store had acknowledged at ``known_at`` are known to this leader; it
+    is None if keys are not checked.
     """
 
     leader: str
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Snapshot:
-    """The rows and versions that a daemon was told; the same one is the same object."""
+    """The rows and versions sent to a daemon; equal ones are the same object."""
 
     rows: Rows
     versions: Versions
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Difference:
-    """The structs that lead from one snapshot to another, ``before`` to now."""
+    """The structs that turn the snapshot ``before`` into the current one."""
 
     before: Snapshot
     rows: list[Any]
@@ -89,7 +90,7 @@
 
 
 class SnapshotCache:
-    """Keeps the same snapshot as long as nothing changes."""
+    """Returns the same snapshot object as long as nothing changes."""
 
     def __init__(self) -> None:
         self._current = EMPTY_SNAPSHOT
@@ -103,7 +104,7 @@
 
 
 class UpdateRound:
-    """The updates of one moment: what followers and other leaders are to know."""
+    """The updates of one round, for followers and for other leaders."""
 
     def __init__(
         self,
@@ -116,15 +117,16 @@
         self._known = known
         self._for_followers = for_followers
         self._for_leaders = for_leaders
-        # By the identity of what was told before; each entry keeps that alive.
+        # By the id of the snapshot sent before, which each entry keeps alive.
         self._differences: dict[tuple[int, bool], Difference] = {}
 
     def make_update(
         self, sent: Snapshot, *, leads: bool, whole: bool
     ) -> tuple[Any, Snapshot]:
-        """Return an update for a daemon, and what it is told with it.
+        """Return an update for a daemon, and the snapshot that it then has.
 
-        ``leads`` tells that it is another leader, which hears only of rows led here.
+        ``leads`` says that the daemon is another leader, which gets only the rows of
+        endpoints that this daemon leads.
         """
         state = self.state
         update = Update(
@@ -173,7 +175,7 @@
             before=sent,
             rows=rows,
             changes=changes,
-            # What is known but led elsewhere is not gone.
+            # Endpoints that are known but led by another leader are not removed.
             removed=[each for each in sent.rows if each not in self._known],
             versions=[
                 encode_weights(key, number)
@@ -184,7 +186,7 @@
 
 
 class UpdateMaker:
-    """Takes the snapshots from which a leader's updates are made."""
+    """Takes the snapshots from which a leader's updates are built."""
 
     def __init__(
         self,
@@ -199,7 +201,7 @@
         self._for_leaders = SnapshotCache()
 
     def start_round(self) -> UpdateRound:
-        """Return the round of updates of this moment."""
+        """Return a round of updates from the current state."""
         state = self._state()
         known = dict(self._rows())
         versions = self._versions()
@@ -214,7 +216,7 @@
 
 
 def encode_leaders(leaders: Mapping[str, KnownLeader]) -> list[Any]:
-    """Return the structs of the leaders known, by data centre."""
+    """Return the structs of the known leaders by data centre."""
     return [
         LeaderRow(
             data_centre=name,
@@ -228,7 +230,7 @@
 
 
 def decode_leader(row: Any) -> tuple[str, KnownLeader]:
-    """Return a data centre and its leader."""
+    """Return the data centre and the leader of a struct."""
     address = Listening(row.host, row.port)
     return row.data_centre, KnownLeader(row.vm, address, row.fence)
 
@@ -243,5 +245,5 @@
 
 
 def decode_revision(row: Any) -> Revision:
-    """Return the revision of a lease that a leader tells."""
+    """Return the revision of a lease's struct."""
     return Revision(NO_ERA if row.era is None else row.era, row.revision)
--- a/src/kestreltally/knowledge/watch_handlers.py
+++ b/src/kestreltally/knowledge/watch_handlers.py
@@ -1,4 +1,4 @@
-"""What is made of the store's objects: configuration, endpoints and versions."""
+"""Handlers of the store's objects: configuration, endpoints and versions."""
 
 import json
 import logging
@@ -30,17 +30,18 @@
 
 LOG = logging.getLogger("kestreltally.knowledge")
 
-# Entries that lapsed while the store was away, or that its copy lacks, are written
-# again soon, if their endpoint lives; one that is still missing then is gone.
+# Entries that expired while the store was unavailable, or that its backup lacks, are
+# written again soon if their endpoint is alive. One that is still missing after this
+# period is treated as removed.
 EXPIRY_GRACE_PERIOD: Final[Seconds] = REWRITTEN_WITHIN
 
 
 class ConfigurationHandler:
     """Puts each newer configuration in force, and keeps it for peers.
 
-    ``lacks_writes`` tells that the store may show a copy. A daemon that knows nothing
-    yet waits then for a leader's word, for the operators to write again, or for the
-    time in which they would have.
+    ``lacks_writes`` returns whether the store may have been restored from a backup
+    without later writes. A daemon without a configuration then waits for that of a
+    leader, for the operators to write again, or for the time they need for that.
     """
 
     def __init__(
@@ -56,30 +57,30 @@
         self.encoded = b""
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take the configuration of a listing in."""
+        """Apply the configuration in a list."""
         for stored in listing.objects:
             if stored.name == CONFIGURATION_NAME:
                 self._pending = stored
         self.apply_pending()
 
     def _may_be_outdated(self) -> bool:
-        """Tell whether what the store shows may be older than what others know."""
+        """Return whether the store's configuration may be older than that of others."""
         return not self._version and self._lacks_writes()
 
     def apply_pending(self) -> None:
-        """Put in force what was listed, once nothing newer is to be expected."""
+        """Apply the listed configuration once no newer one is expected."""
         if self._pending is not None and not self._may_be_outdated():
             pending, self._pending = self._pending, None
             self.apply_document(pending.content)
 
     def apply_changes(self, changes: Changes) -> None:
-        """Take a changed configuration in; a deletion changes nothing."""
+        """Apply a changed configuration; a deletion is ignored."""
         for change in changes.changes:
             if not change.gone and change.object.name == CONFIGURATION_NAME:
                 self.apply_document(change.object.content)
 
     def apply_read(self, stored: StoredObject) -> bool:
-        """Take a configuration in that was read; tell as ``apply_document`` does."""
+        """Apply a configuration that was read; return as ``apply_document`` does."""
         if self._may_be_outdated():
             return False
         if stored.revision != self._read_revision:
@@ -89,10 +90,10 @@
         return True
 
     def apply_document(self, document: Any) -> bool:
-        """Take a configuration in, from wherever it came.
+        """Apply a configuration from any source, and return whether it is in force.
 
-        Return whether it is in force. An older one is not: where the store has come
-        back from a copy, it shows that newer ones are yet to be written again.
+        An older one is not. It shows that the store was restored from a backup, and
+        that newer configurations have not been written again yet.
         """
         try:
             configuration = decode_configuration(document)
@@ -109,9 +110,9 @@
 
 
 class EndpointsHandler:
-    """Keeps the list of endpoints, with patience for entries that lapsed.
+    """Keeps the list of endpoints, with a grace period for expired entries.
 
-    ``recovered_at`` tells when the store last answered again after a failure.
+    ``recovered_at`` returns when the store last recovered from a failure.
     """
 
     def __init__(
@@ -129,11 +130,11 @@
         self._expired: dict[EndpointId, Seconds] = {}
 
     def seed(self, endpoints: Iterable[Endpoint]) -> None:
-        """Start from what was known otherwise, so that lapses are noticed."""
+        """Start from endpoints known otherwise, so that missing ones are noticed."""
         self.listed = {each.id: each for each in endpoints}
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take all entries in; what is missing is gone, or has lapsed."""
+        """Apply a list of all entries; those missing were removed or have expired."""
         present = {EndpointId(stored.name) for stored in listing.objects}
         for stored in listing.objects:
             self._apply_entry(stored)
@@ -141,7 +142,7 @@
             self._record_missing(endpoint)
 
     def apply_changes(self, changes: Changes) -> None:
-        """Take some changed entries in."""
+        """Apply changes of some entries."""
         for change in changes.changes:
             if change.gone:
                 self._record_missing(EndpointId(change.object.name))
@@ -178,7 +179,7 @@
         log_decision(LOG, Decision.ENDPOINT_GONE, endpoint=endpoint)
 
     def drop_expired(self) -> None:
-        """Forget entries that were not written again in time."""
+        """Remove entries that were not written again within the grace period."""
         now = self._clock()
         for endpoint, until in list(self._expired.items()):
             if now >= until:
@@ -192,12 +193,12 @@
         self._apply = apply
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take all versions in."""
+        """Apply a list of all versions."""
         for stored in listing.objects:
             self._apply_object(stored)
 
     def apply_changes(self, changes: Changes) -> None:
-        """Take some versions in; a deletion changes nothing."""
+        """Apply changes of some versions; deletions are ignored."""
         for change in changes.changes:
             if not change.gone:
                 self._apply_object(change.object)
--- a/src/kestreltally/knowledge/watching.py
+++ b/src/kestreltally/knowledge/watching.py
@@ -1,4 +1,4 @@
-"""Follows the objects of one kind in the store, by a list and then by watches."""
+"""Watches the objects of one kind in the store, starting from a list."""
 
 import asyncio
 import logging
@@ -20,27 +20,27 @@
 
 LOG = logging.getLogger("kestreltally.knowledge")
 
-# However many daemons ask alike, each asks again within this time.
+# Each daemon retries within this time, however many of them retry.
 MAX_RETRY_INTERVAL: Final[Seconds] = 3.0
 
 
 class WatchHandler(Protocol):
-    """Takes in what the store holds of a kind."""
+    """Applies the objects of one kind in the store."""
 
     def apply_listing(self, listing: Listing) -> None:
-        """Take in all objects; what is missing is gone."""
+        """Apply a list of all objects; those missing are deleted."""
 
     def apply_changes(self, changes: Changes) -> None:
-        """Take in some changes."""
+        """Apply changes of some objects."""
 
 
 class KindWatch:
-    """Keeps a follower up to date while it is switched on.
+    """Keeps a handler up to date while the watch is enabled.
 
-    ``gap`` is the least time between two calls: changes within it come together.
-    ``wait`` is how long one call waits for a change. A store that fell silent may never
-    answer a watch that waited, also once it is back, so waits are short.
-    ``count_watchers`` tells how many daemons ask alike when the store does not answer.
+    ``gap`` is the minimum time between two calls; changes within it are received
+    together. ``wait`` is how long one call waits for a change. It is short, as a store
+    that stops answering may never answer a pending watch, even once it has recovered.
+    ``count_watchers`` returns how many daemons retry when the store does not answer.
     """
 
     def __init__(
@@ -69,11 +69,11 @@
 
     @property
     def enabled(self) -> bool:
-        """Tell whether it is switched on."""
+        """Return whether the watch is enabled."""
         return self._enabled.is_set()
 
     def set_enabled(self, enabled: bool) -> None:
-        """Start or stop following; a stopped one lists anew when it starts."""
+        """Start or stop the watch; one that was stopped starts from a new list."""
         if enabled and not self._enabled.is_set():
             self._revision = None
             self._enabled.set()
@@ -82,25 +82,25 @@
 
     @property
     def recovered_at(self) -> Seconds:
-        """Return when the store last answered again, or had come back from a copy.
+        """Return when the store last recovered, or was restored from a backup.
 
-        What is missing then may be written again soon.
+        Objects missing at that time may be written again soon.
         """
         return max(self._regained_at, self._store.copied_at)
 
     @property
     def failing(self) -> bool:
-        """Tell whether the store did not answer the last call."""
+        """Return whether the last call to the store failed."""
         return self.failed_at > self.answered_at
 
     def compute_age(self) -> Seconds:
-        """Return how old this knowledge may be: a watch that waits is fresh."""
+        """Return the maximum age of the known objects; a pending watch counts as 0."""
         if self.failing:
             return self._clock() - self.answered_at
         return 0.0 if self._revision is not None else float("inf")
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Watch the objects while enabled; runs forever."""
         while True:
             await self._enabled.wait()
             try:
@@ -108,7 +108,8 @@
             except EraPassed:
                 self._revision = None
             except HistoryGone:
-                # The store was there all the while: nothing has lapsed.
+                # The store was available all the time, so no entry has expired by a
+                # failure of it.
                 log_decision(LOG, Decision.HISTORY_GONE, kind=self._kind)
                 self._revision = None
             except StoreError as error:
--- a/tests/test_credit_exchange.py
+++ b/tests/test_credit_exchange.py
@@ -1,4 +1,4 @@
-"""Turns as daemons tell each other of them: what comes late lends nothing."""
+"""Tests of the exchange of credits; credits that arrive late have expired."""
 
 from types import SimpleNamespace
 from typing import Any, cast
@@ -18,7 +18,7 @@
 
 
 class Rig:
-    """A daemon that follows a leader, which lends turns at one endpoint."""
+    """A daemon that follows or is a leader, which issues credits of one endpoint."""
 
     def __init__(self, *, leads: bool = False) -> None:
         self.now = NOW
@@ -80,16 +80,16 @@
 
 async def test_late_credit_is_expired_but_counts_as_received() -> None:
     rig = Rig()
-    # Reported 0.2 s ago and answered 0.1 s later: 0.3 s are left of the turn.
+    # Reported 0.2 s ago and answered 0.1 s later: the credit is valid for 0.3 s more.
     rig.apply_credit(NOW - 0.2, 0.1)
     assert [round(ends - NOW, 6) for ends in rig.limit.turns] == [0.3]
-    # The daemon stood still, or the link did, for five seconds.
+    # The daemon or the link was stalled for five seconds.
     rig.now += 5.0
     rig.apply_credit(NOW - 0.2, 0.1)
     assert rig.fleet.notices.find_rest(ENDPOINT, rig.now) > 0
     assert len(rig.credited) == 1
     assert rig.get_received_count() == 2
-    # Over another connection counting begins anew.
+    # The count starts again on a new connection.
     rig.exchange.record_connected(LEADER)
     assert rig.get_received_count() == 0
 
@@ -121,7 +121,7 @@
     assert (update.echo, round(update.echo_age, 6)) == (3.0, 5.1)
     (notice,) = rig.fleet.notices.list_known(rig.now)
     assert update.notices == [encode_notice(notice)]
-    # Nor is what is on its way lent, or told, again.
+    # A credit in transit is neither issued nor sent again.
     rig.exchange.apply_report(peer, Report(wanted=[wanted]))
     rig.exchange.fill_update(update, peer)
     assert update.turns == []
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,8 +1,8 @@
-"""Entries of other writers: what cannot be read is left out, and stops no other.
+"""Tests that malformed entries of other writers are skipped without side effects.
 
-An entry whose address held a number, or whose list of adapters held one, ended the
-watch of all endpoints: the kinds of errors that were taken as "another form" missed it.
-One whose zone was a list was taken, and ended each update to other daemons.
+Guards against an entry with a number as its address, or in its list of adapters, that
+ends the watch of all endpoints by an error of another type than expected, and against
+one with a list as its zone that is accepted and then fails each update to daemons.
 """
 
 import json
@@ -49,7 +49,7 @@
 
 
 def apply_entries(entries: list[Any]) -> list[Endpoint]:
-    """Return what a follower takes of a listing, each fit to be told to others."""
+    """Return the endpoints that a handler accepts; all of them can be serialised."""
     applied: list[Endpoint] = []
     follower = EndpointsHandler(
         applied.append, lambda _: None, lambda: 0.0, lambda: float("-inf")
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -1,17 +1,14 @@
-"""The store comes back from a copy of some seconds ago.
+"""Tests of a store that is restored from a backup of some seconds ago.
 
-What users see: adapters are no longer brought, a configuration is not put in force, two
-daemons order the same engine.
+Guards against adapters that are no longer loaded, a configuration that is not put in
+force, and two daemons that give orders to the same engine.
 
-The order of events: the store is away for a moment and comes back as it was some
-seconds before; what was written since is gone, leases too, and revisions are given out
-again. A daemon that knows a later revision waits for one that is newer still, writes
-under the condition of a number that now names another object, or goes on watching from
-it past changes that it never saw.
-
-The cause: a revision was a number alone, where it says something within its era only.
-The evidence: a holder met its own older record, took its revision for an old one, and
-asked again at once, without end.
+A restored store lacks the latest writes, including leases, and assigns their revisions
+again. A daemon that knows a later revision waits for one that is newer still, writes on
+condition of a revision that now belongs to another object, or watches from it past
+changes that it never received. A lease holder that found its own older record treated
+its revision as outdated, and retried at once without end. So revisions are compared
+within an era only.
 """
 
 import asyncio
@@ -23,19 +20,19 @@
     run_fleet,
 )
 
-# What the store forgets.
+# Writes of the last seconds that the store loses.
 LOST_SECONDS = 2.0
 
 
 async def restore_recent_backup(rig: FleetRig) -> None:
-    """Have the store come back from a copy of some seconds ago."""
+    """Restore the store from a backup of some seconds ago."""
     backup = rig.store.copy()
     await asyncio.sleep(LOST_SECONDS)
     await rig.store.restore(backup)
 
 
 def check_orders(rig: FleetRig) -> None:
-    """Check that no engine was ordered by two holders under one number."""
+    """Check that no engine got orders of two lease holders with the same fence."""
     for engine in rig.engines:
         numbers = [fence for _, fence in engine.holders]
         assert numbers == sorted(numbers)
@@ -49,7 +46,7 @@
             await restore_recent_backup(rig)
             calls = rig.store.calls
             await asyncio.sleep(1.0)
-            # Four engines write 3.3 times a second each, two daemons renew and watch.
+            # Four engines write 3.3 times/s each, two daemons renew leases and watch.
             assert rig.store.calls - calls < 60
             for vm in rig.daemons:
                 name = f"a{number}{vm[0]}"
@@ -63,8 +60,8 @@
     async with run_fleet() as rig:
         backup = rig.store.copy()
         await asyncio.sleep(LOST_SECONDS)
-        # The operator has written already, and others have moved the revisions on: no
-        # daemon sees the store with a lower one than it knows.
+        # The operator has written already, and other writes have raised the revisions,
+        # so no daemon sees a lower revision than the one that it knows.
         backup.objects["config"]["main"]["Specification"] = make_configuration(7, "/b/")
         await rig.store.restore(backup, moved_on=200)
         for vm in rig.daemons:
@@ -118,9 +115,9 @@
 
 
 async def restart_from_backup(rig: FleetRig, vm: str) -> list[int]:
-    """Restart the store from a copy, and a daemon then; return what it answers.
+    """Restore the store from a backup, then restart a daemon; return its statuses.
 
-    The operators write again what the copy lacks after a second.
+    The operators repeat the write that the backup lacks after a second.
     """
     backup = rig.store.copy()
     newer = make_configuration(4, "/b/")
@@ -141,7 +138,7 @@
 
 
 async def test_daemon_started_on_backup_ignores_old_configuration() -> None:
-    # Guards against routes that a restarted daemon denies, or serves as they were.
+    # Guards against a restarted daemon that rejects newer routes or serves old ones.
     async with run_fleet() as rig:
         await rig.daemons.pop("south-1").close()
         statuses = await restart_from_backup(rig, "north-1")
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -1,4 +1,4 @@
-"""What is made of the store's objects and of the leaders' feeds."""
+"""Tests of documents of the store, of endpoint expiry, and of the leaders' feed."""
 
 import asyncio
 import re
@@ -142,7 +142,7 @@
 
 
 class ExpiryRig:
-    """An endpoints' follower whose store was away until ``recovered_at``."""
+    """An endpoints handler whose store was unavailable until ``recovered_at``."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -184,7 +184,8 @@
 
 
 def test_grace_period_starts_at_store_recovery_not_at_deletion() -> None:
-    # trouble-1 of dala-points: gone 1.5 s after the return, used 2.1 s longer.
+    # Guards against a grace period that starts at the deletion: an endpoint deleted
+    # 1.5 s after the recovery of the store was used for 2.1 s longer.
     rig = ExpiryRig()
     rig.recovered_at = rig.clock.now
     rig.clock.now += EXPIRY_GRACE_PERIOD - 0.5
@@ -212,7 +213,7 @@
 
 
 class FakeStream:
-    """The updates sent to a daemon, which may be slow to read them."""
+    """Records the updates sent to a daemon, which may read them slowly."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
@@ -227,7 +228,7 @@
 
 
 class FeedRig:
-    """A feed of a leader of the north that knows two data centres."""
+    """The feed of a leader in the data centre "north" that knows two data centres."""
 
     def __init__(self) -> None:
         self.rows = {
@@ -267,8 +268,8 @@
 
 
 def test_long_prompt_is_sent_between_regular_updates() -> None:
-    # quiet-1 of the radar tiles' days: counts were 0.2 to 0.4 s old, and a long prompt
-    # is read for 0.24 s.
+    # Guards against totals that arrive too late: regular updates are 0.2 to 0.4 s old,
+    # and an engine reads a long prompt for 0.24 s.
     rig = FeedRig()
     rig.clock.now = 5.0
     assert rig.update().unread == {}
@@ -311,7 +312,8 @@
 
 
 def test_follower_that_becomes_leader_gets_no_removals() -> None:
-    # quiet-1 of dala-points: a new leader forgot all plain endpoints elsewhere.
+    # Guards against a new leader that removes all plain endpoints of the other data
+    # centres.
     rig = FeedRig()
     rig.update()
     rig.peer.leads = frozenset({"south"})
@@ -319,8 +321,8 @@
 
 
 def test_slow_follower_gets_latest_state_only() -> None:
-    # trouble-1 of the grown ondalunga-catchup: on a thin link each change was queued
-    # behind those before, and daemons acted upon configurations seconds old.
+    # Guards against updates that queue on a slow link: each change waited behind the
+    # earlier ones, and daemons applied configurations that were seconds old.
     rig = FeedRig()
     rig.update()
     rig.stream.unsent = MAX_UNSENT_BYTES + 1
@@ -375,7 +377,7 @@
 
 
 class Pipe:
-    """Both ends of a stream of frames in memory; what was written is kept."""
+    """Both ends of an in-memory stream of frames, which keeps the written bytes."""
 
     def __init__(self) -> None:
         self.reader = asyncio.StreamReader()
@@ -407,7 +409,7 @@
 
 
 def test_structs_match_idl() -> None:
-    # A daemon does not read the IDL: its start must not pay for a parser.
+    # Daemons import generated structs, so that no IDL parser slows down their start.
     read = load(str(IDL_PATH), module_name="feed_thrift").__thrift_meta__["structs"]
     assert [describe_struct(each) for each in read] == [
         describe_struct(getattr(structs, each.__name__)) for each in read
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""What a daemon does in the first moments of its process."""
+"""Tests of the start of a daemon's process."""
 
 import os
 import signal
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 SOURCES = Path(__file__).resolve().parent.parent / "src"
-# Replaces the daemon by one that reports how its signals are set.
+# Replaces the daemon's module by one that prints the handler of SIGHUP.
 PROGRAM = """
 import signal, sys, types
 import kestreltally_fleet
@@ -20,7 +20,7 @@
 
 
 def test_sighup_during_start_does_not_end_daemon() -> None:
-    # Fault soak, seed 111: SIGHUP reached a daemon that had just been started.
+    # Guards against a SIGHUP that ends a daemon before its handler is installed.
     result = subprocess.run(
         [sys.executable, "-c", PROGRAM],
         capture_output=True,
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -1,4 +1,4 @@
-"""The store's client binds revisions to the era in which they were told."""
+"""Tests that the store's client binds revisions to the era of their response."""
 
 from typing import Any
 
@@ -37,7 +37,7 @@
 
 
 class StoreRig:
-    """A stand-in of the store, and a client of it."""
+    """A stand-in for the store, and its client."""
 
     async def __aenter__(self) -> "StoreRig":
         self.server = PlatformStore({})
@@ -74,7 +74,7 @@
         await rig.client.create("k", "other", {})
         backup = rig.server.copy()
         mine = await rig.client.create("k", "n", {"by": "me"})
-        # The number is given out again, for another's object of the same name.
+        # The revision is assigned again, to another writer's object of the same name.
         await rig.server.restore(backup)
         await rig.server.put("k", "n", {"by": "another"})
         with pytest.raises(EraPassed):
@@ -95,7 +95,7 @@
 
 
 async def test_first_restore_is_detected() -> None:
-    # Eras begin with 0, which is one like any other.
+    # Eras start with 0, which is a valid era.
     async with StoreRig() as rig:
         await rig.client.list_objects("k")
         assert rig.client.era == 0
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,8 +1,8 @@
-"""A machine is suspended for seconds: what a daemon believed before is not believed.
+"""Tests that leases and other state expire while the machine is suspended.
 
-The steady clock does not count a suspension. A leader that was suspended for 8 s went
-on giving orders under a lease that another had taken, for as long as was left of it
-before; a key that was taken away meanwhile ran requests for as long.
+The monotonic clock does not count a suspension. With it, a leader that was suspended
+for 8 s gave orders under a lease that another had taken, for the time that was left
+before the suspension; requests with a key revoked meanwhile ran for as long.
 """
 
 import asyncio
@@ -20,7 +20,7 @@
 
 @pytest.fixture
 def suspend(monkeypatch: pytest.MonkeyPatch) -> Callable[[], None]:
-    """Return what has the machine suspended, as the system's clocks show it."""
+    """Return a function that simulates a suspension in the system's clocks."""
     real = time.clock_gettime
     suspended_for = [0.0]
 
--- a/tests/test_tombstones.py
+++ b/tests/test_tombstones.py
@@ -1,7 +1,7 @@
-"""What is gone stays gone, whoever has not heard of it yet.
+"""Tests that removed endpoints are not restored by daemons with older data.
 
-What users saw in a hunted day: a request reached an engine more than four seconds after
-the store had taken that it leaves, as the leader of its data centre had lost the store.
+Guards against a request that reaches an engine more than four seconds after the store
+accepted that the engine leaves, because its leader has lost the store.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 from tests.test_knowledge import make_endpoint
 
 REMOVED = replace(make_endpoint("e1"), born=7)
-# The operators' bound, from the store's answer on.
+# The operators' bound, counted from the store's answer.
 DRAIN_BOUND = 2.0
 
 
@@ -23,7 +23,7 @@
 async def test_leader_without_store_does_not_restore_removed_endpoint(
     reconnecting_vm: str,
 ) -> None:
-    # Guards against word of endpoints from before they went, told to who connects anew.
+    # Guards against rows from before the removal, sent to daemons that reconnect.
     async with run_fleet() as rig:
         await rig.add_daemon("north-2", "north")
         await rig.add_daemon("south-2", "south")
@@ -52,9 +52,9 @@
     tombstones.record(REMOVED, 100.0)
     assert tombstones.is_removed(REMOVED, 97.0)
     assert tombstones.is_removed(REMOVED, 100.0)
-    # Who has read the store since knows better.
+    # A row from a later read of the store is valid.
     assert not tombstones.is_removed(REMOVED, 100.3)
-    # Another start is another endpoint.
+    # Another incarnation is another endpoint.
     assert not tombstones.is_removed(replace(REMOVED, born=8), 97.0)
     assert not tombstones.is_removed(replace(REMOVED, id=make_endpoint("e2").id), 97.0)
 
--- a/tests/test_watching.py
+++ b/tests/test_watching.py
@@ -1,4 +1,4 @@
-"""How soon a daemon knows that the store has fallen silent."""
+"""Tests how soon a daemon detects that the store does not answer."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
 
 
 class SilentStore:
-    """A store that answers until it falls silent; then calls run out of time."""
+    """A store that answers until it falls silent; later calls time out."""
 
     def __init__(self) -> None:
         self.silent = False
@@ -40,7 +40,7 @@
 
 
 class NullHandler:
-    """Takes in what the store holds, and keeps nothing."""
+    """Ignores the objects of the store."""
 
     def apply_listing(self, listing: Listing) -> None:
         pass
@@ -50,8 +50,8 @@
 
 
 async def test_silent_store_is_detected_within_drain_bound() -> None:
-    # trouble-1 of the grown ondalunga-catchup, DRAIN 3,008 ms: the leader's watch
-    # waited on a silent store, and its followers took it for fresh all the while.
+    # Guards against requests to a leaving endpoint, seen up to 3,008 ms after it left:
+    # the leader's watch waited on a silent store, and followers used its data as fresh.
     store = SilentStore()
     clock = asyncio.get_running_loop().time
     watch = KindWatch(
