--- a/src/kestreltally/entry/__init__.py
+++ b/src/kestreltally/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry: takes requests from clients and relays them to endpoints."""
+"""The entry: accepts client requests and relays them to endpoints."""
--- a/src/kestreltally/entry/affinity.py
+++ b/src/kestreltally/entry/affinity.py
@@ -1,4 +1,4 @@
-"""Which endpoint read the long parts of prompts lately."""
+"""Tracks which endpoint recently processed which long prompt prefixes."""
 
 from collections import OrderedDict
 from typing import Final
@@ -7,12 +7,15 @@
 from kestreltally.fleet.model import EndpointId, WeightsKey
 
 MAX_AFFINITY_ENTRIES: Final = 4_096
-# Parts of a prompt shorter than this are read anew in a few ms.
+# Shorter prompts are not tracked: processing them again takes a few ms.
 MIN_AFFINITY_TOKENS: Final = 512
 
 
 class Affinity:
-    """Remembers which endpoint read the long parts of prompts lately."""
+    """Maps recent prompt parts to the endpoint that processed them.
+
+    The entries recorded least recently are evicted first.
+    """
 
     def __init__(self) -> None:
         self._processed_by: OrderedDict[tuple[WeightsKey, str], EndpointId] = (
@@ -22,7 +25,7 @@
     def compute_cached_fraction(
         self, request: ClientRequest, key: WeightsKey, at: EndpointId
     ) -> float:
-        """Return which part of a request's prompt an endpoint has read before."""
+        """Return the fraction of a request's prompt that an endpoint has processed."""
         cached = 0
         for part in request.head.parts:
             if self._processed_by.get((key, part.id)) != at:
@@ -31,7 +34,7 @@
         return cached / max(1, request.head.prompt_tokens)
 
     def record(self, request: ClientRequest, key: WeightsKey, at: EndpointId) -> None:
-        """Remember where a request's prompt is read."""
+        """Record that an endpoint processes a request's prompt."""
         if request.head.prompt_tokens < MIN_AFFINITY_TOKENS:
             return
         for part in request.head.parts:
--- a/src/kestreltally/entry/answers.py
+++ b/src/kestreltally/entry/answers.py
@@ -1,4 +1,4 @@
-"""Answers to clients: those of endpoints as they came, and refusals of our own."""
+"""Builds answers to clients: endpoint answers unchanged, and this daemon's refusals."""
 
 import json
 from typing import Final
@@ -14,12 +14,12 @@
     encode_retry_after,
 )
 
-# The endpoint's Date and Server headers pass; aiohttp adds them where they miss.
+# The endpoint's Date and Server headers are kept; aiohttp adds them if missing.
 _DROPPED: Final = HOP_BY_HOP_HEADERS
 
 
 def copy_headers(answer: Answer) -> CIMultiDict[str]:
-    """Return an answer's headers without those of its connection."""
+    """Return an answer's headers without the hop-by-hop headers."""
     headers: CIMultiDict[str] = CIMultiDict()
     for raw_name, raw_value in answer.raw_headers:
         name = raw_name.decode("latin-1")
@@ -29,7 +29,7 @@
 
 
 def make_buffered_answer(answer: Answer, body: bytes) -> web.Response:
-    """Return an endpoint's answer whose body has come whole."""
+    """Return an endpoint's answer with a complete body."""
     return web.Response(
         status=answer.status,
         reason=answer.reason or None,
@@ -39,7 +39,7 @@
 
 
 def make_streamed_answer(answer: Answer) -> web.StreamResponse:
-    """Return an endpoint's answer whose body follows in pieces."""
+    """Return an endpoint's answer with a body that is streamed."""
     response = web.StreamResponse(
         status=answer.status,
         reason=answer.reason or None,
@@ -50,7 +50,7 @@
 
 
 def make_refusal(refused: Refused, request_id: str) -> web.Response:
-    """Return a refusal of our own, with a time to come back where there is one."""
+    """Return this daemon's refusal, with ``Retry-After`` if a time is given."""
     headers = CIMultiDict({REQUEST_ID: request_id} if request_id else {})
     if refused.retry_after is not None:
         headers[RETRY_AFTER] = encode_retry_after(refused.retry_after)
--- a/src/kestreltally/entry/api.py
+++ b/src/kestreltally/entry/api.py
@@ -1,4 +1,4 @@
-"""The entry's HTTP servers: clients' requests, and the balancer's readiness checks."""
+"""The entry's HTTP servers, for client requests and readiness checks."""
 
 import asyncio
 import logging
@@ -41,25 +41,30 @@
 
 LOG = logging.getLogger("kestreltally.entry")
 
-# Header limits before any configuration is known, bytes.
+# Limit of request headers in bytes; used before any configuration is known.
 MAX_HEADER_BYTES: Final = 65_536
-# Kept channels may rest for four fifths of the configured idle time; it is not known
-# when the server starts, and closing one later costs nothing.
+# Idle time of kept client connections, in seconds. They may stay idle for four fifths
+# of the configured time. That time is not known when the server starts, and closing a
+# connection later than necessary is harmless.
 KEEP_ALIVE_TIMEOUT: Final = 75.0
 SPLIT_RANGE: Final = 2**32
 BACKLOG: Final = 512
-# How long after a planned stop has begun streams are still taken. The balancer sends
-# none after two seconds, and the longest streams last four to five of the eight that
-# are left.
+# How long streams are still accepted after the start of a planned stop. The load
+# balancer sends none after 2 s, and the longest streams last 4 to 5 s of the 8 s that
+# remain.
 STREAM_ACCEPT_DURATION: Final[Seconds] = 2.9
-# The longest that all but a few whole answers take: a request that comes later than
-# this before the end is sent elsewhere.
+# Nearly all complete answers take less than this. A request that arrives later than
+# this before the end of a planned stop is refused, so that it is sent to another
+# daemon.
 MAX_ANSWER_TIME: Final[Seconds] = 0.6
 RETRY_ELSEWHERE: Final[Seconds] = 0.02
 
 
 def choose_service(route: Route, request_id: str) -> ServiceName:
-    """Return the service of a request's share: the same for the same id."""
+    """Return the service for a request by the route's weights.
+
+    The choice is deterministic in the request id.
+    """
     if len(route.shares) == 1:
         return route.shares[0].service
     total = sum(share.weight for share in route.shares)
@@ -74,7 +79,7 @@
 
 @dataclass(slots=True)
 class ClientCall:
-    """A request from its first byte here to the end of its answer."""
+    """A client request from its first byte to the end of its answer."""
 
     client: web.BaseRequest
     started_at: Seconds
@@ -83,7 +88,7 @@
 
 
 class EntryApi:
-    """Serves clients, and tells the balancer whether to send new ones."""
+    """Serves clients, and answers the load balancer's readiness checks."""
 
     def __init__(
         self,
@@ -102,7 +107,7 @@
         self.live = 0
 
     async def start(self, clients: Listening, readiness: Listening) -> None:
-        """Listen on both sides; raises ``OSError``."""
+        """Listen for clients and readiness checks; raises ``OSError``."""
         front = web.Server(
             self._serve,
             handler_cancellation=True,
@@ -126,17 +131,17 @@
         self._runners.append(runner)
 
     async def close(self) -> None:
-        """Stop listening and close all channels."""
+        """Stop listening and close all connections."""
         for runner in self._runners:
             await runner.cleanup()
 
     @property
     def stopping(self) -> bool:
-        """Tell whether a planned stop has begun."""
+        """Return whether a planned stop has started."""
         return self._stops_at is not None
 
     def stop_by(self, moment: Seconds) -> None:
-        """Take no new clients, and finish all requests by a moment."""
+        """Start a planned stop: report not ready, and finish all requests by a time."""
         self._stop_began = asyncio.get_running_loop().time()
         self._stops_at = moment
 
@@ -150,11 +155,11 @@
                 latest_arrival, self._stop_began + STREAM_ACCEPT_DURATION
             )
         if now > latest_arrival:
-            raise Refused(UNAVAILABLE, "this daemon stops", RETRY_ELSEWHERE)
+            raise Refused(UNAVAILABLE, "daemon is stopping", RETRY_ELSEWHERE)
 
     @property
     def ready(self) -> bool:
-        """Tell whether new clients may be sent here."""
+        """Return whether this daemon accepts new clients."""
         known = self._fleet.configuration is not None
         return known and not self.stopping and not self._gate.identity.is_isolated
 
@@ -205,7 +210,7 @@
         call: ClientCall,
         end: BaseException | web.StreamResponse,
     ) -> None:
-        """Write the one line that every request ends with."""
+        """Log the line that ends every request, and report its metrics."""
         now = asyncio.get_running_loop().time()
         configuration = self._fleet.configuration
         request = call.request
@@ -250,9 +255,9 @@
         )
 
     def _describe_content(self, decision: Decision, call: ClientCall) -> str | None:
-        """Return what a stopped request, or one that failed once sent, is known by.
+        """Return the fingerprint of a stopped request, or of one that failed once sent.
 
-        Others are not digested: a body may be long.
+        Others are not hashed, because bodies may be long.
         """
         if call.progress.content is not None:
             return call.progress.content
@@ -263,22 +268,23 @@
         return str(make_fingerprint(call.request, secret))
 
     def _abort(self, client: web.BaseRequest) -> web.StreamResponse:
-        """Close a client's channel so that its answer does not look complete.
+        """Close a client's connection so that its answer does not look complete.
 
-        Nothing of what is returned gets out: aiohttp writes to no closing transport.
+        The returned response is never sent: aiohttp does not write to a closing
+        transport.
         """
         if client.transport is not None:
             client.transport.close()
         return web.Response(status=BAD_GATEWAY)
 
     async def _read(self, client: web.BaseRequest) -> ClientRequest:
-        """Return a client's whole request; raises ``Refused`` or ``ClientDisconnected``."""
+        """Read a client's request; raises ``Refused`` or ``ClientDisconnected``."""
         arrived_at = asyncio.get_running_loop().time()
         configuration = self._fleet.configuration
         if configuration is None:
-            raise Refused(UNAVAILABLE, "no configuration yet", 0.5)
+            raise Refused(UNAVAILABLE, "no configuration received yet", 0.5)
         body = await self._read_body(client, configuration)
-        # The configuration in force once the request is whole decides.
+        # The configuration in force once the request is complete applies.
         configuration = self._fleet.configuration or configuration
         path = client.raw_path
         host = client.headers.get("Host", "").partition(":")[0].lower()
@@ -293,7 +299,7 @@
             raise Refused(400, str(error)) from error
         service = configuration.services.get(choose_service(route, head.id))
         if service is None:
-            raise Refused(UNAVAILABLE, "the route's service is not configured", 0.5)
+            raise Refused(UNAVAILABLE, "service of the route not configured", 0.5)
         budget = min(route.timeout, head.deadline or route.timeout)
         return ClientRequest(
             method=client.method,
@@ -312,6 +318,6 @@
         self, client: web.BaseRequest, configuration: Configuration
     ) -> bytes:
         limits = configuration.limits
-        # Bodies come within some multiple of the time that heads have.
+        # The body may take a multiple of the header timeout.
         timeout = 4 * limits.header_timeout
         return await read_body(client, limits.body_bytes, timeout)
--- a/src/kestreltally/entry/choice.py
+++ b/src/kestreltally/entry/choice.py
@@ -1,4 +1,4 @@
-"""Chooses the endpoint for a request: a pure function of what is known."""
+"""Chooses the endpoint for a request, as a pure function of the options."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -7,21 +7,23 @@
 from kestreltally.estimates.prefill import PrefillWork
 from kestreltally.fleet.model import Endpoint, Seconds
 
-# An endpoint of another data centre counts as this much later: the bytes between data
-# centres of one request cost a part of its worth, and hardly any time.
+# Cost added for an endpoint in another data centre. It stands for the price of the
+# traffic between data centres, a fraction of the value of the request; the added
+# latency is negligible.
 REMOTE_PENALTY: Final[Seconds] = 0.25
-# A batch that is full when a request joins it slows each of its tokens so much.
+# Cost of joining a full batch, which slows each token; scaled by the occupied share.
 BATCH_PENALTY: Final[Seconds] = 0.5
-# A full batch makes the next request wait for a whole one to end.
+# Cost added where the batch is full, so that a request waits until another one ends.
 QUEUE_PENALTY: Final[Seconds] = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Option:
-    """An endpoint that could take a request.
+    """A candidate endpoint for a request.
 
-    ``in_flight`` counts the requests of all daemons there; ``first_event_delay`` is the predicted
-    time to the first event, by what is to be read before it.
+    ``in_flight`` counts the requests of all daemons at the endpoint, ``remote`` is true
+    in another data centre, ``work`` is the prefill before the first event, and
+    ``first_event_delay`` the predicted time to that event.
     """
 
     endpoint: Endpoint
@@ -37,7 +39,7 @@
 
 
 def register_chooser(name: str) -> Callable[[C], C]:
-    """Register a way to choose an endpoint under a name."""
+    """Return a decorator that registers a chooser under a name."""
 
     def register(chooser: C) -> C:
         ENDPOINT_CHOOSERS[name] = chooser
@@ -47,7 +49,7 @@
 
 
 def compute_cost(option: Option) -> Seconds:
-    """Return what a request at an endpoint costs, as time to its first event."""
+    """Return the cost of an option, as an equivalent time to the first event."""
     slots = max(1, option.endpoint.slots)
     cost = option.first_event_delay + BATCH_PENALTY * option.in_flight / slots
     if option.in_flight >= slots:
@@ -59,5 +61,5 @@
 
 @register_chooser("least-cost")
 def choose_least_cost(options: Sequence[Option]) -> Option:
-    """Return the option of least cost; ties go by the endpoint's id."""
+    """Return the option of least cost; the endpoint id breaks ties."""
     return min(options, key=lambda each: (compute_cost(each), each.endpoint.id))
--- a/src/kestreltally/entry/delivery.py
+++ b/src/kestreltally/entry/delivery.py
@@ -1,4 +1,4 @@
-"""Hands an endpoint's answer on to the client, whole, long or event by event."""
+"""Forwards an endpoint's answer to the client: buffered, streamed, or by events."""
 
 import asyncio
 import logging
@@ -20,15 +20,15 @@
 LOG = logging.getLogger("kestreltally.relay")
 
 MIN_FAILURE_STATUS: Final = 500
-# Statuses that promise that a request has not run: an endpoint's own is handed on
-# only where it says so itself.
+# Statuses that imply that a request has not run. One from an endpoint is forwarded only
+# if the endpoint states this itself.
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
-# Bodies up to this many bytes are handed on whole, so that a torn one can be retried.
+# Bodies up to this size are buffered, so that a truncated one can be retried.
 MAX_BUFFERED_BYTES: Final = 2**18
 
 
 def compute_wait_limit(request: ClientRequest, progress: Progress) -> Seconds | None:
-    """Return how long an endpoint may be silent; none where no other may be asked."""
+    """Return how long to wait for an endpoint; None if no other may be tried."""
     route = request.route
     if not route.repeatable or progress.runs >= route.attempts:
         return None
@@ -36,14 +36,14 @@
 
 
 class Delivery:
-    """Hands answers on, and notes how they ended at their endpoints."""
+    """Forwards answers, and records the outcome for the endpoint's health."""
 
     def __init__(self, health: HealthTable, budget: RetryBudget) -> None:
         self._health = health
         self._budget = budget
 
     def record_failure(self, endpoint: Endpoint, fault: str) -> None:
-        """Count a failure of an endpoint, and tell where it is left out for it."""
+        """Count a failure of an endpoint; log if the endpoint is ejected."""
         now = asyncio.get_running_loop().time()
         if self._health.record_failure(endpoint.id, now):
             log_decision(
@@ -58,10 +58,10 @@
         endpoint: Endpoint,
         answer: Answer,
     ) -> web.StreamResponse:
-        """Return the answer as it went to the client.
+        """Return the answer as it was sent to the client.
 
-        Raises ``AttemptFailed`` where another endpoint may better it, and ``StreamBroken``
-        where the client has seen too much of it for that.
+        Raises ``AttemptFailed`` if another endpoint may still be tried, and
+        ``StreamBroken`` if the client has already received part of the answer.
         """
         if request.route.kind is RequestKind.STREAM and answer.status < 300:
             return await self._forward_events(
@@ -72,7 +72,7 @@
         except AnswerTruncated as error:
             progress.record_broken()
             self.record_failure(endpoint, str(error))
-            raise AttemptFailed("the answer was torn", may_have_run=True) from error
+            raise AttemptFailed("answer body truncated", may_have_run=True) from error
         if body is None:
             return await self._forward_long_body(client, progress, endpoint, answer)
         _record_complete(progress, answer)
@@ -86,7 +86,7 @@
         endpoint: Endpoint,
         answer: Answer,
     ) -> None:
-        """Raise ``AttemptFailed`` for an answer that another endpoint may better."""
+        """Raise ``AttemptFailed`` for an error answer that should not be forwarded."""
         if answer.status < MIN_FAILURE_STATUS:
             self._health.record_success(endpoint.id)
             return
@@ -140,12 +140,12 @@
                 )
                 await self._write_events(client, progress, answer, content)
             if events.has_partial_event:
-                raise AnswerTruncated("ended within an event")
+                raise AnswerTruncated("stream ended within an event")
         except (AnswerTruncated, EventTooLong, TimeoutError) as error:
             if isinstance(error, AnswerTruncated):
                 progress.record_broken()
             self.record_failure(endpoint, repr(error))
-            raise AttemptFailed("the stream broke off", may_have_run=True) from error
+            raise AttemptFailed("stream broken off", may_have_run=True) from error
         progress.record_ended()
         self._health.record_success(endpoint.id)
         if progress.response is None:
@@ -171,9 +171,10 @@
 
 
 def _record_complete(progress: Progress, answer: Answer) -> None:
-    """Note that an answer is whole; a failure shows of no request that it runs well.
+    """Record that an answer is complete.
 
-    An endpoint that fails a part of its requests may have failed it unlooked at.
+    An error answer doesn't count as a successful run: an endpoint that fails a fraction
+    of its requests may have failed this one without processing it.
     """
     if answer.status < MIN_FAILURE_STATUS:
         progress.record_answered(whole=True)
--- a/src/kestreltally/entry/demand.py
+++ b/src/kestreltally/entry/demand.py
@@ -1,4 +1,4 @@
-"""What clients asked of this daemon lately, for the leader that places adapters."""
+"""Recent demand for weights at this daemon, for the leader that places adapters."""
 
 from collections import defaultdict
 from dataclasses import dataclass
@@ -8,11 +8,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightsDemand:
-    """The requests for some weights since the last report.
+    """The requests for one service's weights since the last report.
 
-    ``waiting`` counts those that wait for the weights to come now, ``timely`` those of
-    them that can still be answered within their objective; ``prompt_tokens`` are those
-    of all that wait. ``missed`` were refused.
+    ``waiting`` counts those that wait for the weights now, ``timely`` those of them
+    that can still be answered within their objective. ``prompt_tokens`` is the total of
+    the waiting requests. ``missed`` counts refused requests.
     """
 
     service: ServiceName
@@ -26,7 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiter:
-    """A request that waits: in time if its weights have come at ``ready_deadline``."""
+    """A waiting request.
+
+    It meets its objective if its weights are loaded by ``ready_deadline``.
+    """
 
     ready_deadline: Seconds
     prompt_tokens: int
@@ -47,24 +50,24 @@
         self._arrivals[(service, key)] += 1
 
     def start_wait(self, service: ServiceName, key: WeightsKey, waiter: Waiter) -> None:
-        """Count a request that begins to wait for its weights."""
+        """Count a request that starts to wait for its weights."""
         self._waiting.setdefault((service, key), []).append(waiter)
 
     def end_wait(self, service: ServiceName, key: WeightsKey, waiter: Waiter) -> None:
-        """Count a request that waits no longer."""
+        """Stop counting a request as waiting."""
         waiters = self._waiting[(service, key)]
         waiters.remove(waiter)
         if not waiters:
             del self._waiting[(service, key)]
 
     def record_missed(self, service: ServiceName, key: WeightsKey) -> None:
-        """Count a request that was refused because its weights were not there."""
+        """Count a request that was refused because its weights were not loaded."""
         self._missed[(service, key)] += 1
 
     def record_use(self, endpoint: EndpointId, key: WeightsKey, step: int) -> bool:
-        """Count a request that begins (1) or ends (-1) to use weights on an engine.
+        """Count a request that starts (1) or stops (-1) using weights on an engine.
 
-        Tell whether the first one began, or the last one ended.
+        Return whether it is the first one to start or the last one to stop.
         """
         before = self.uses.get((endpoint, key), 0)
         self.uses[(endpoint, key)] = before + step
@@ -74,16 +77,16 @@
         return True
 
     def record_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
-        """Note that an engine refused a request for want of its weights."""
+        """Record that an engine refused a request because it lacks the weights."""
         self._refused.add((endpoint, key))
 
     def pop_refused(self) -> set[tuple[EndpointId, WeightsKey]]:
-        """Return the refusals since the last call and start anew."""
+        """Return and clear the refusals since the last call."""
         popped, self._refused = self._refused, set()
         return popped
 
     def pop_demand(self, now: Seconds) -> list[WeightsDemand]:
-        """Return the counts since the last call and start anew."""
+        """Return and clear the counts since the last call."""
         names = self._arrivals.keys() | self._waiting.keys() | self._missed.keys()
         popped = [self._summarise(service, key, now) for service, key in names]
         self._arrivals.clear()
--- a/src/kestreltally/entry/events.py
+++ b/src/kestreltally/entry/events.py
@@ -1,22 +1,22 @@
-"""Streams of server-sent events: only whole ones are handed on, none twice."""
+"""Server-sent event streams: forwards complete events only, and none twice."""
 
 import re
 from typing import Final
 
 _END: Final = re.compile(rb"\r?\n\r?\n")
 _ID: Final = re.compile(rb"^id:[ ]?([^\r\n]*)", re.MULTILINE)
-# An event holds some tokens: some hundred bytes. More is no event.
+# An event holds a few tokens in some hundred bytes; more than this is not an event.
 MAX_EVENT_BYTES: Final = 2**20
 
 
 class EventTooLong(ValueError):
-    """The bytes received are no stream of events."""
+    """The received bytes are not an event stream."""
 
 
 class EventReader:
-    """Cuts bytes into whole events and drops those that were handed on before.
+    """Splits bytes into events and drops those that were already forwarded.
 
-    ``last_id`` is the id of the last event handed on; ids rise within a stream.
+    ``last_id`` is the id of the last forwarded event; ids increase within a stream.
     """
 
     def __init__(self) -> None:
@@ -25,11 +25,11 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Tell whether part of an event has come that is not whole yet."""
+        """Return whether an incomplete event is buffered."""
         return bool(self._partial.strip())
 
     def feed(self, content: bytes) -> bytes:
-        """Take bytes in and return the whole events that they complete."""
+        """Add received bytes; return the events that they complete."""
         data = self._partial + content
         events = bytearray()
         start = 0
@@ -40,11 +40,14 @@
                 events += event
         self._partial = data[start:]
         if len(self._partial) > MAX_EVENT_BYTES:
-            raise EventTooLong(f"{len(self._partial)} bytes without an end of event")
+            raise EventTooLong(
+                f"{len(self._partial)} bytes without end of event, "
+                f"limit {MAX_EVENT_BYTES}"
+            )
         return bytes(events)
 
     def restart(self) -> None:
-        """Drop the unfinished event: another endpoint continues the stream."""
+        """Drop the incomplete event, because another endpoint continues the stream."""
         self._partial = b""
 
     def _is_new(self, event: bytes) -> bool:
--- a/src/kestreltally/entry/finder.py
+++ b/src/kestreltally/entry/finder.py
@@ -1,4 +1,4 @@
-"""Finds the endpoint for a request, and waits for its weights while that pays."""
+"""Finds the endpoint for a request and waits for its weights while that is useful."""
 
 import asyncio
 import logging
@@ -31,32 +31,32 @@
 
 LOG = logging.getLogger("kestreltally.finder")
 
-# Nobody is sent back for a wait so short, late or not: an adapter from the weight store
-# takes a quarter of a second, and twice that where some are on their way.
+# No request is refused for a wait this short, even if it becomes late: loading an
+# adapter from the weight store takes 0.25 s, and twice that while others are loading.
 MIN_ACCEPTED_WAIT: Final[Seconds] = 0.5
-# A request that waits is looked at this often: the leader's word on loads is renewed
-# five times a second.
+# A waiting request is checked at this interval: the leader updates its estimate of the
+# load wait five times a second.
 POLL_INTERVAL: Final[Seconds] = 0.2
-# What is told, at the most, as the time to come back; and what a load is taken to last
-# where no leader is heard.
+# Upper limit of the retry time in refusals, and the assumed load time while no leader
+# is in contact.
 MAX_RETRY_DELAY: Final[Seconds] = 2.0
-# Who is sent back until a rest ends comes within this part of it after its end, so that
-# not all come in one moment.
+# Clients refused during a backoff are told to return within this fraction of it after
+# its end, so that they do not all retry at once.
 RETRY_JITTER: Final = 0.25
 
 
 def make_backoff_refusal(backoff: Seconds) -> Refused:
-    """Return a refusal until a rest is over, at a time apart from those of others."""
+    """Return a refusal with a jittered retry time after the end of a backoff."""
     after = max(DEFAULT_RETRY_DELAY, backoff * random.uniform(1.0, 1.0 + RETRY_JITTER))
-    return Refused(UNAVAILABLE, "all that could serve rest", after)
+    return Refused(UNAVAILABLE, "all endpoints that could serve are in backoff", after)
 
 
 class EndpointFinder:
-    """Knows who could serve what, and how full the endpoints are.
+    """Finds an endpoint by weights, health, affinity and occupancy.
 
-    ``remote_occupancy`` tells what other daemons have under way, by endpoint;
-    ``load_wait`` is the leader's word on how long a load takes from now, none without a
-    leader; ``expedite`` has the leader told of new demand at once.
+    ``remote_occupancy`` is the occupancy by other daemons' requests. ``load_wait`` is
+    the leader's estimate of how long a load takes from now, None without a leader.
+    ``expedite`` makes new demand be reported to the leader at once.
     """
 
     def __init__(self, data_centre: str, fleet: Fleet, health: HealthTable) -> None:
@@ -73,7 +73,10 @@
         self.expedite: Callable[[], None] = lambda: None
 
     async def find(self, request: ClientRequest, progress: Progress) -> Option:
-        """Return the endpoint to ask, once one can serve; raises ``Refused``."""
+        """Return the chosen endpoint, waiting until one can serve.
+
+        Raises ``Refused`` when waiting is not worthwhile.
+        """
         loop = asyncio.get_running_loop()
         key = request.head.weights
         if request.service.engine is None or key is None:
@@ -90,7 +93,7 @@
     async def _find_for_service(
         self, request: ClientRequest, progress: Progress
     ) -> Option:
-        """Return the endpoint to ask where any of the service can serve."""
+        """Return the chosen endpoint where any endpoint of the service can serve."""
         loop = asyncio.get_running_loop()
         self._request_credits(request, None)
         while True:
@@ -100,7 +103,7 @@
                 return self._choose_endpoint(request, progress, candidates, now)
             backoff = self._fleet.find_rest(request.service_name, None, now)
             if backoff is None or progress.runs:
-                progress.last_fault = progress.last_fault or "no endpoint"
+                progress.last_fault = progress.last_fault or "no endpoint available"
                 raise make_final_error(progress)
             if now + backoff > request.first_event_deadline:
                 raise make_backoff_refusal(backoff)
@@ -135,7 +138,7 @@
             progress.waited += loop.time() - started_at
 
     def _request_credits(self, request: ClientRequest, key: WeightsKey | None) -> None:
-        """Note that a request could use a turn at an endpoint that names a limit."""
+        """Request credits for a request at endpoints that name a rate limit."""
         now = asyncio.get_running_loop().time()
         for each in self._fleet.list_limited(request.service_name, key, now):
             self._fleet.notices.want_turn(each, now)
@@ -143,7 +146,7 @@
     async def _wait_for_credit(
         self, request: ClientRequest, key: WeightsKey | None, timeout: Seconds
     ) -> None:
-        """Wait for weights to come, or a turn where what could serve has a limit."""
+        """Wait for weights, or for a credit at an endpoint with a rate limit."""
         now = asyncio.get_running_loop().time()
         service = request.service_name
         target: WaitTarget = service if key is None else key
@@ -156,14 +159,14 @@
             await self.waiters.wait(target, timeout, urgency)
 
     def _has_candidate(self, service: ServiceName, key: WeightsKey | None) -> bool:
-        """Tell whether some endpoint may be asked now."""
+        """Return whether any endpoint can be called now."""
         now = asyncio.get_running_loop().time()
         if key is None:
             return bool(self._fleet.list_service(service, now))
         return bool(self._fleet.list_holders(service, key, now))
 
     def _make_waiter(self, request: ClientRequest) -> Waiter:
-        """Return what its leader is to know of a request that waits."""
+        """Return what is reported to the leader about a waiting request."""
         prefill_time = self.prefill_times.predict_unqueued(request.head.prompt_tokens)
         return Waiter(
             ready_deadline=request.arrived_at + request.route.objective - prefill_time,
@@ -177,7 +180,7 @@
         key: WeightsKey,
         now: Seconds,
     ) -> None:
-        """Raise ``Refused`` unless the weights are predicted to come in time."""
+        """Raise ``Refused`` unless the weights are predicted to be loaded in time."""
         if progress.runs:
             raise make_final_error(progress)
         wait = self.load_wait if self.load_wait is not None else MAX_RETRY_DELAY
@@ -195,11 +198,11 @@
             raise Refused(UNAVAILABLE, f"{key} is not loaded", after)
 
     def _compute_ready_deadline(self, request: ClientRequest, *, new: bool) -> Seconds:
-        """Return by when weights must have come for a request to be worth its wait.
+        """Return the latest time of loaded weights for which a request keeps waiting.
 
-        A new one is sent back at once where more than an ordinary wait would make it
-        late; one that has waited is served late rather than sent back, while its client
-        is still there.
+        A new request is refused at once if a wait beyond ``MIN_ACCEPTED_WAIT`` would
+        make it late. One that has waited is served late rather than refused, as long as
+        its client still waits.
         """
         prefill_time = self.prefill_times.predict_unqueued(request.head.prompt_tokens)
         deadline = request.first_event_deadline - prefill_time
@@ -222,8 +225,8 @@
         options = [self._make_option(request, each, now) for each in healthy]
         chosen = self._choose(options)
         progress.trail.append(
-            f"{chosen.endpoint.id} of {len(candidates)}, {chosen.in_flight} under way"
-            + (", far" if chosen.remote else "")
+            f"{chosen.endpoint.id} of {len(candidates)}, {chosen.in_flight} in flight"
+            + (", remote" if chosen.remote else "")
             + f", {chosen.first_event_delay:.3f} s"
         )
         return chosen
--- a/src/kestreltally/entry/gate.py
+++ b/src/kestreltally/entry/gate.py
@@ -1,4 +1,4 @@
-"""What a client must pass before its request is served: its key, and its quota."""
+"""Admission of requests, by their organisation's key and quota."""
 
 import logging
 from typing import Final
@@ -15,14 +15,14 @@
 
 
 class Gate:
-    """Lets requests in by their organisation's key and quota."""
+    """Admits requests by their organisation's key and quota."""
 
     def __init__(self, identity: IdentityCheck, limiter: Limiter) -> None:
         self.identity = identity
         self._limiter = limiter
 
     def grant(self, request: ClientRequest) -> None:
-        """Count a request against its quota; raises ``Refused`` beyond it."""
+        """Count a request against its quota; raises ``Refused`` over the quota."""
         name, quota = request.organisation_name, _get_quota(request)
         if name is None or quota is None:
             return
@@ -38,10 +38,14 @@
             units=units,
             wait=round(wait, 3),
         )
-        raise Refused(TOO_MANY_REQUESTS, f"the quota of {name} is used up", wait)
+        raise Refused(
+            TOO_MANY_REQUESTS,
+            f"quota of organisation {name} exhausted",
+            wait,
+        )
 
     def give_back(self, request: ClientRequest) -> None:
-        """Take back what was counted for a request that has not run."""
+        """Return the units that were counted for a request that has not run."""
         name, quota = request.organisation_name, _get_quota(request)
         if name is not None and quota is not None:
             self._limiter.give_back(name, quota.measure(request.head.tokens))
--- a/src/kestreltally/entry/health.py
+++ b/src/kestreltally/entry/health.py
@@ -1,4 +1,4 @@
-"""How each endpoint has behaved towards this daemon, and which to spare new work."""
+"""Endpoint health as seen by this daemon: ejection, silence and outlier detection."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,31 +8,33 @@
 from kestreltally.entry.outcomes import OutcomeCounter
 from kestreltally.fleet.model import Endpoint, EndpointId, Seconds
 
-# A sound endpoint starts to answer in some 100 ms. One that has let a request wait
-# this long, and has answered none that came after it, is held silent.
+# A healthy endpoint starts to answer within about 100 ms. One that has left a request
+# unanswered for this long, and has not answered any later one, counts as silent.
 SILENCE_TIMEOUT: Final[Seconds] = 1.0
 FAILURES_TO_EJECT: Final = 3
-# Failures count within this time.
+# Only failures within this window count towards ejection.
 FAILURE_WINDOW: Final[Seconds] = 3.0
-# An endpoint is left alone this long at first, and twice as long each time again.
+# Duration of the first ejection; it doubles with each further one up to the maximum.
 INITIAL_EJECTION_TIME: Final[Seconds] = 0.6
 MAX_EJECTION_TIME: Final[Seconds] = 4.0
-# At the most this part of a service's endpoints is left out: beyond it the fault is
-# more likely here or in all of them.
+# Largest fraction of a service's endpoints that may be left out. Beyond it the fault is
+# more likely to be in this daemon or common to all endpoints.
 MAX_EJECTED_FRACTION: Final = 0.5
-# A part of failed requests above that of the service by this much is an outlier.
+# An endpoint whose failure rate exceeds the service's median by this much is an
+# outlier.
 OUTLIER_MARGIN: Final = 0.25
 FAILURE_RATE_WEIGHT: Final = 0.12
-# Until an answer begins, this part of its prompt at the most counts as read.
+# Until an answer starts, at most this fraction of its prompt counts as processed.
 MAX_READ_FRACTION: Final = 0.9
 
 
 @dataclass(frozen=True, slots=True)
 class PendingAnswer:
-    """A request whose answer has not begun: when it was sent, and its unread tokens.
+    """A request that was sent and whose answer has not started.
 
-    ``priority`` 0 is the most urgent. The endpoint is expected to begin with its prompt
-    at ``prefill_starts_at`` and to read it for ``prefill_duration``.
+    ``unread`` counts its prompt tokens to process; ``priority`` 0 is the most urgent.
+    Prefill is expected to start at ``prefill_starts_at`` and to last
+    ``prefill_duration``.
     """
 
     sent_at: Seconds
@@ -42,7 +44,7 @@
     prefill_duration: Seconds
 
     def count_remaining(self, now: Seconds) -> int:
-        """Return how many tokens are expected to be unread still at a moment."""
+        """Return the prompt tokens that are expected to be unprocessed at a time."""
         if now <= self.prefill_starts_at or self.prefill_duration <= 0:
             return self.unread
         done = min(
@@ -53,10 +55,10 @@
 
 @dataclass(slots=True)
 class Health:
-    """What one endpoint has done for this daemon's requests lately.
+    """Recent behaviour of one endpoint towards this daemon's requests.
 
-    ``latest_answered`` holds, by priority, the token of the latest request that it has begun
-    to answer; ``received_at`` is when any bytes came from it.
+    ``latest_answered`` maps a priority to the highest request token with a started
+    answer; ``received_at`` is when bytes last came from the endpoint.
     """
 
     in_flight: int = 0
@@ -71,16 +73,17 @@
 
 
 class HealthTable:
-    """The health of all endpoints, by this daemon's own requests."""
+    """The health of all endpoints, from this daemon's own requests."""
 
     def __init__(self) -> None:
         self._rows: dict[EndpointId, Health] = {}
         self._next_token = 0
-        # For the leaders, which judge endpoints by what all daemons have seen.
+        # Reported to the leaders, which evaluate endpoints by the outcomes at all
+        # daemons.
         self.outcomes = OutcomeCounter()
 
     def row(self, endpoint: EndpointId) -> Health:
-        """Return an endpoint's row, made when there is none."""
+        """Return an endpoint's row, creating it if needed."""
         health = self._rows.get(endpoint)
         if health is None:
             health = self._rows[endpoint] = Health()
@@ -96,10 +99,11 @@
         prefill_delay: Seconds = 0.0,
         prefill_duration: Seconds = 0.0,
     ) -> int:
-        """Note that a request goes to an endpoint; return a token for its answer.
+        """Record that a request is sent to an endpoint; return a token for it.
 
-        ``unread`` are the tokens of its prompt that the endpoint has yet to read, from
-        ``prefill_delay`` from now on and for ``prefill_duration``; the tokens returned rise.
+        ``unread`` counts the prompt tokens that the endpoint has to process, starting
+        ``prefill_delay`` from now and lasting ``prefill_duration``. Returned tokens
+        increase.
         """
         self._next_token += 1
         health = self.row(endpoint)
@@ -112,7 +116,7 @@
     def record_answer_start(
         self, endpoint: EndpointId, token: int, now: Seconds
     ) -> None:
-        """Note that an answer has begun."""
+        """Record that an answer has started."""
         health = self.row(endpoint)
         answer = health.pending.pop(token, None)
         health.answered_at = health.received_at = now
@@ -121,11 +125,11 @@
             health.latest_answered[answer.priority] = max(latest, token)
 
     def record_received(self, endpoint: EndpointId, now: Seconds) -> None:
-        """Note that some bytes came from an endpoint."""
+        """Record that bytes came from an endpoint."""
         self.row(endpoint).received_at = now
 
     def is_overtaken(self, endpoint: EndpointId, token: int) -> bool:
-        """Tell whether a later request that is not more urgent was answered first."""
+        """Return whether a later request of no higher urgency was answered first."""
         health = self.row(endpoint)
         answer = health.pending.get(token)
         if answer is None:
@@ -136,13 +140,13 @@
         )
 
     def end(self, endpoint: EndpointId, token: int) -> None:
-        """Note that a request is over, whatever came of it."""
+        """Record that a request has ended, with any outcome."""
         health = self.row(endpoint)
         health.in_flight -= 1
         health.pending.pop(token, None)
 
     def record_success(self, endpoint: EndpointId) -> None:
-        """Count a whole answer."""
+        """Count a complete answer."""
         self.outcomes.record_completed(endpoint)
         health = self.row(endpoint)
         health.failure_rate *= 1 - FAILURE_RATE_WEIGHT
@@ -150,7 +154,7 @@
         health.ejections = 0
 
     def record_failure(self, endpoint: EndpointId, now: Seconds) -> bool:
-        """Count a failure; tell whether the endpoint is ejected by it."""
+        """Count a failure; return whether it ejects the endpoint."""
         self.outcomes.record_failed(endpoint)
         health = self.row(endpoint)
         health.failure_rate += FAILURE_RATE_WEIGHT * (1 - health.failure_rate)
@@ -167,7 +171,7 @@
         health.ejections += 1
 
     def is_healthy(self, endpoint: EndpointId, now: Seconds) -> bool:
-        """Tell whether an endpoint is neither ejected nor silent."""
+        """Return whether an endpoint is neither ejected nor silent."""
         health = self._rows.get(endpoint)
         if health is None:
             return True
@@ -179,7 +183,7 @@
         return not silent
 
     def filter_healthy(self, endpoints: list[Endpoint], now: Seconds) -> list[Endpoint]:
-        """Return the sound ones, or all when too many would be left out."""
+        """Return the healthy endpoints, or all if too many would be left out."""
         healthy = [each for each in endpoints if self.is_healthy(each.id, now)]
         if len(healthy) < len(endpoints) * (1 - MAX_EJECTED_FRACTION):
             return endpoints
@@ -202,7 +206,7 @@
         )
 
     def measure(self, now: Seconds) -> Occupancy:
-        """Return what of this daemon's requests is under way."""
+        """Return the occupancy caused by this daemon's requests."""
         busy = {e: h for e, h in self._rows.items() if h.in_flight}
         unread = {
             endpoint: _count_unread(health, now) for endpoint, health in busy.items()
@@ -213,20 +217,23 @@
         )
 
     def measure_one(self, endpoint: EndpointId, now: Seconds) -> tuple[int, int]:
-        """Return the requests under way at an endpoint, and their unread tokens."""
+        """Return the requests in flight at an endpoint and their unprocessed tokens."""
         health = self._rows.get(endpoint)
         if health is None:
             return 0, 0
         return health.in_flight, _count_unread(health, now)
 
     def reset(self, endpoint: EndpointId) -> None:
-        """Start anew with an endpoint that has; its requests under way still end."""
+        """Reset the record of an endpoint that restarted.
+
+        The in-flight count stays, because its requests still end.
+        """
         health = self._rows.get(endpoint)
         if health is not None:
             self._rows[endpoint] = Health(in_flight=health.in_flight)
 
     def remove(self, endpoint: EndpointId) -> None:
-        """Drop the row of an endpoint that is gone, once it is idle."""
+        """Remove the row of a removed endpoint unless requests are in flight."""
         health = self._rows.get(endpoint)
         if health is not None and not health.in_flight:
             del self._rows[endpoint]
--- a/src/kestreltally/entry/identity.py
+++ b/src/kestreltally/entry/identity.py
@@ -1,7 +1,7 @@
-"""Who asks: the organisation of a client's key, by the configuration in force.
+"""Resolves a client's key to its organisation by the applied configuration.
 
-A key is believed only while this daemon's word on the configuration is young enough,
-and refused for good only where no newer configuration may hold it.
+A key is accepted only while the configuration was confirmed recently enough. It is
+refused permanently only if no newer configuration may contain it.
 """
 
 from typing import Final
@@ -15,27 +15,27 @@
 
 BAD_REQUEST: Final = 400
 UNAUTHORISED: Final = 401
-# When a key is not known and a newer configuration may hold it: a daemon without word
-# asks the store again within this time.
+# Retry time for an unknown key while a newer configuration may contain it. A daemon
+# without a recent confirmation asks the store again within this time.
 UNKNOWN_KEY_RETRY_DELAY: Final[Seconds] = 1.0
-# Other daemons may still be in touch where this one is cut off from the store.
+# Retry time while this daemon has lost the store, but others may still reach it.
 OTHER_DAEMON_RETRY_DELAY: Final[Seconds] = 0.1
-# Where the leader that is heard is cut off as well, so are all daemons as far as is
-# known: a store that was away is asked again within this time.
+# Retry time while the leader in contact has lost the store as well, and so presumably
+# have all daemons. An unreachable store is asked again within this time.
 STORE_RETRY_DELAY: Final[Seconds] = 1.0
 
 
 class IdentityCheck:
-    """Tells whose a request is, or why it cannot be told."""
+    """Identifies the organisation of a request, or refuses the request."""
 
     def __init__(self, fleet: Fleet, authority: Authority) -> None:
         self._fleet = fleet
         self._authority = authority
-        # Tells whether any leader is heard.
+        # Whether any leader is in contact.
         self.has_leader_contact = False
 
     def identify(self, keys: list[str], route: Route) -> Caller | None:
-        """Return who asks, none where nobody need tell; raises ``Refused``."""
+        """Return the caller, None where no key is needed; raises ``Refused``."""
         if route.public or self._fleet.keys is None:
             return None
         if len(keys) > 1:
@@ -46,13 +46,17 @@
         return Caller(self._get_organisation(digest), digest)
 
     def recheck(self, caller: Caller) -> None:
-        """Raise ``Refused`` when a key has been taken away, or may have been."""
+        """Raise ``Refused`` if a key has been revoked, or may have been."""
         if self._fleet.keys is not None:
             self._get_organisation(caller.digest)
 
     def _get_organisation(self, digest: KeyDigest) -> Organisation:
         if not self._authority.check():
-            raise Refused(UNAVAILABLE, "keys cannot be checked", self.compute_wait())
+            raise Refused(
+                UNAVAILABLE,
+                "keys cannot be checked: configuration not confirmed recently",
+                self.compute_wait(),
+            )
         keys = self._fleet.keys
         organisation = keys.find(digest) if keys is not None else None
         if organisation is None:
@@ -60,21 +64,23 @@
         return organisation
 
     def _make_refusal(self, reason: str) -> Refused:
-        """Return a refusal for good, or until newer knowledge has come."""
+        """Return a permanent refusal, or a temporary one if knowledge may be stale."""
         if self._authority.is_fresh:
             return Refused(UNAUTHORISED, reason)
         return Refused(
-            UNAVAILABLE, f"{reason}, as far as is known here", UNKNOWN_KEY_RETRY_DELAY
+            UNAVAILABLE,
+            f"{reason} in a configuration that may be stale",
+            UNKNOWN_KEY_RETRY_DELAY,
         )
 
     def compute_wait(self) -> Seconds:
-        """Return when a client whose key cannot be checked here is to come back."""
+        """Return the retry time for a client whose key cannot be checked."""
         return (
             STORE_RETRY_DELAY if self.has_leader_contact else OTHER_DAEMON_RETRY_DELAY
         )
 
     @property
     def is_isolated(self) -> bool:
-        """Tell whether keys cannot be checked here while others may do so."""
+        """Return whether this daemon cannot check keys while others may be able to."""
         needed = self._fleet.keys is not None
         return needed and not self._authority.is_valid and not self.has_leader_contact
--- a/src/kestreltally/entry/occupancy.py
+++ b/src/kestreltally/entry/occupancy.py
@@ -1,4 +1,4 @@
-"""How full endpoints are: requests under way, and prompts still to be read."""
+"""Occupancy of endpoints: requests in flight and prompt tokens not yet processed."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -9,18 +9,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Occupancy:
-    """Counts by endpoint of some daemons' requests.
+    """Counts by endpoint for the requests of one or several daemons.
 
-    ``in_flight`` counts requests; ``unread`` the prompt tokens of those that have not
-    begun to answer, which an engine reads before it begins with what comes later.
+    ``in_flight`` counts requests. ``unread`` counts the unprocessed prompt tokens of
+    those without a first event yet; an engine processes them before requests that come
+    later.
     """
 
     in_flight: Mapping[EndpointId, int]
     unread: Mapping[EndpointId, int]
 
     @classmethod
-    def total(cls, parts: "Iterable[Fullness]") -> "Occupancy":
-        """Return the counts of all parts together."""
+    def total(cls, parts: "Iterable[Occupancy]") -> "Occupancy":
+        """Return the sum of all parts."""
         in_flight: dict[EndpointId, int] = {}
         unread: dict[EndpointId, int] = {}
         for part in parts:
@@ -29,7 +30,10 @@
         return cls(in_flight, unread)
 
     def minus(self, other: "Occupancy") -> "Occupancy":
-        """Return these counts without others, which may be of another moment."""
+        """Return these counts less others, never below zero.
+
+        The two may have been measured at different times.
+        """
         return Occupancy(
             in_flight=_subtract(self.in_flight, other.in_flight),
             unread=_subtract(self.unread, other.unread),
--- a/src/kestreltally/entry/outcomes.py
+++ b/src/kestreltally/entry/outcomes.py
@@ -1,4 +1,4 @@
-"""How requests ended at each endpoint, counted until somebody takes the counts."""
+"""Counts request outcomes by endpoint until the counts are reported."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,10 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """How many requests an endpoint answered whole, and how many failed there.
+    """The numbers of complete answers and of failures at an endpoint.
 
-    A failure is a channel that could not be opened or broke, silence, or bytes that
-    are no answer; an error that the endpoint told is an answer.
+    A failure is a connection that could not be opened or that broke, a silent endpoint,
+    or bytes that are not a valid answer. An error status from the endpoint is an
+    answer.
     """
 
     endpoint: EndpointId
@@ -28,7 +29,7 @@
         self._failed: Counter[EndpointId] = Counter()
 
     def record_completed(self, endpoint: EndpointId) -> None:
-        """Count a whole answer."""
+        """Count a complete answer."""
         self._whole[endpoint] += 1
 
     def record_failed(self, endpoint: EndpointId) -> None:
@@ -36,13 +37,13 @@
         self._failed[endpoint] += 1
 
     def add(self, outcomes: Iterable[Outcome]) -> None:
-        """Count what another daemon has counted."""
+        """Add the counts of another daemon."""
         for each in outcomes:
             self._whole[each.endpoint] += each.whole
             self._failed[each.endpoint] += each.failed
 
     def take(self) -> list[Outcome]:
-        """Return the counts since the last call and start anew."""
+        """Return and clear the counts since the last call."""
         counts = [
             Outcome(endpoint, self._whole[endpoint], self._failed[endpoint])
             for endpoint in self._whole.keys() | self._failed.keys()
--- a/src/kestreltally/entry/progress.py
+++ b/src/kestreltally/entry/progress.py
@@ -1,4 +1,4 @@
-"""What becomes of one request on its way through the entry."""
+"""The state of one request while it is relayed."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -12,13 +12,13 @@
 
 BAD_GATEWAY: Final = 502
 UNAVAILABLE: Final = 503
-# A time to come back when nothing better is known.
+# Retry time in refusals when no better estimate exists.
 DEFAULT_RETRY_DELAY: Final[Seconds] = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class Prediction:
-    """The time to the first event as it was predicted, and as it was."""
+    """The predicted and the actual time to the first event."""
 
     predicted: Seconds
     actual: Seconds
@@ -26,11 +26,11 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What has become of one request so far.
+    """The state of one request.
 
-    ``runs`` counts the sends of which no endpoint has said that they did not run;
-    ``flight`` is the last one, as it is watched. ``content`` is what lines show of a
-    request that is stopped.
+    ``runs`` counts the sends that may have run: no endpoint stated that they did not.
+    ``flight`` is the watch on the last send. ``content`` is what log lines show of the
+    content of a stopped request.
     """
 
     sends: int = 0
@@ -47,24 +47,24 @@
     content: str | None = None
 
     def record_answered(self, *, whole: bool) -> None:
-        """Note that some of an answer was good, or all of it."""
+        """Record that a part of an answer, or all of it, was valid."""
         if self.flight is not None:
             self.flight.answered = True
             self.flight.whole = whole
 
     def record_ended(self) -> None:
-        """Note that the last send's answer is whole, or says that nothing ran."""
+        """Record that the last send got a complete answer, or did not run."""
         if self.flight is not None:
             self.flight.whole = True
 
     def record_broken(self) -> None:
-        """Note that the channel of the last send broke off."""
+        """Record that the connection of the last send broke."""
         if self.flight is not None:
             self.flight.broke = True
 
 
 class AttemptFailed(Exception):
-    """This endpoint did not serve the request; another may."""
+    """The endpoint did not serve the request, but another may."""
 
     def __init__(self, fault: str, *, may_have_run: bool) -> None:
         super().__init__(fault)
@@ -73,11 +73,11 @@
 
 
 class StreamBroken(Exception):
-    """A stream that clients have seen part of cannot be finished."""
+    """A stream cannot be completed although its client has received part of it."""
 
 
 def make_final_error(progress: Progress) -> Exception:
-    """Return what ends a request that no endpoint has served."""
+    """Return the exception that ends a request that no endpoint has served."""
     if progress.response is not None:
         return StreamBroken(progress.last_fault)
     if progress.runs:
--- a/src/kestreltally/entry/relay.py
+++ b/src/kestreltally/entry/relay.py
@@ -1,8 +1,8 @@
-"""The way of one request: an endpoint is chosen, asked, and its answer handed on.
+"""Relays one request: chooses an endpoint, sends the request, forwards the answer.
 
-A request that must not run twice goes to one endpoint only, unless that endpoint has
-said that it did not run. A stream that may be resumed goes on at another endpoint
-after the last whole event handed on.
+A request that must not run twice is sent to one endpoint only, unless that endpoint
+states that it did not run. A resumable stream continues at another endpoint after the
+last forwarded event.
 """
 
 import asyncio
@@ -71,21 +71,22 @@
 
 GATEWAY_TIMEOUT: Final = 504
 MIN_ERROR_STATUS: Final = 400
-# Priorities of late requests begin in the middle.
+# Added to the priority of late requests, which places them in the less urgent half.
 LATE_PRIORITY_OFFSET: Final = 5
-# What is left of a request's time when it is given up, so that the refusal gets out.
+# A request is given up this long before its deadline, so that the refusal still
+# arrives.
 REFUSAL_MARGIN: Final[Seconds] = 0.03
-# The pause before endpoints that have all been tried are tried again.
+# Pause before the endpoints are tried again after all of them have been tried.
 RETRY_PAUSE: Final[Seconds] = 0.1
 
 
 def compute_urgency(
     request: ClientRequest, first_event_at: Seconds, *, resumes: bool
 ) -> int:
-    """Return the priority for an engine, 0 the most urgent.
+    """Return the priority to send to an engine, 0 the most urgent.
 
-    What is late already yields to what can still be in time, but keeps its order among
-    what is late. A stream that has begun is not late.
+    A late request yields to those that can still meet their objective; late requests
+    keep their order among themselves. A stream that has started is not late.
     """
     priority = request.priority
     if resumes or first_event_at <= request.arrived_at + request.route.objective:
@@ -112,15 +113,16 @@
         self._delivery = Delivery(health, budget)
         self.poison = PoisonGuard(lambda endpoint: health.row(endpoint).received_at)
         self.poison.ends.find_staying = self._get_staying
-        # Called with the tokens of a prompt that an endpoint begins or ends to read.
+        # Called with a prompt's token count when an endpoint starts or ends its
+        # prefill.
         self.record_reading: Callable[[int], None] = lambda _: None
-        # Called when an adapter on an engine begins or ends to be used from here.
+        # Called when this daemon's use of an adapter on an engine starts or ends.
         self.notify_use_change: Callable[[], None] = lambda: None
-        # Raises ``Refused`` when a key has been taken away since its request was read.
+        # Raises ``Refused`` if a key was revoked after its request was read.
         self.check_caller: Callable[[Caller], None] = lambda _: None
 
     def _get_staying(self, endpoint: EndpointId) -> Endpoint | None:
-        """Return an endpoint that is listed and does not leave."""
+        """Return an endpoint if it is listed and not leaving."""
         known = self._fleet.endpoints.get(endpoint)
         return known if known is not None and not known.leaving else None
 
@@ -139,11 +141,17 @@
                 return await self._serve_with_retries(request, client, progress)
         except TimeoutError as error:
             if progress.response is not None:
-                raise StreamBroken("out of time") from error
+                raise StreamBroken(
+                    "request deadline exceeded during the answer"
+                ) from error
             if progress.runs:
-                raise Refused(GATEWAY_TIMEOUT, "no answer in time") from error
+                raise Refused(
+                    GATEWAY_TIMEOUT, "no answer before the request deadline"
+                ) from error
             raise Refused(
-                UNAVAILABLE, "no place in time", DEFAULT_RETRY_DELAY
+                UNAVAILABLE,
+                "request deadline exceeded while waiting for an endpoint",
+                DEFAULT_RETRY_DELAY,
             ) from error
 
     async def _serve_with_retries(
@@ -164,13 +172,13 @@
                 if not self._can_try_another(request, progress, failure):
                     raise make_final_error(progress) from failure
                 if len(progress.trail) > 2 * len(progress.tried):
-                    # All have been tried: give them a moment.
+                    # All endpoints have been tried: pause before the next round.
                     await asyncio.sleep(RETRY_PAUSE)
 
     def _check_poison(self, request: ClientRequest, progress: Progress) -> None:
-        """End a request under which endpoints have ended.
+        """Stop a poison request, during which endpoints have ended.
 
-        It would end the next one as well, with all that others have running there.
+        It would probably end the next endpoint as well, with all other requests there.
         """
         block = self.poison.find_block(request)
         if block is None:
@@ -295,10 +303,12 @@
                 self.poison.ends.record_refused(endpoint)
             self._delivery.record_failure(endpoint, str(error))
             self._record_unreachable(request, endpoint)
-            raise AttemptFailed("no connection", may_have_run=False) from error
+            raise AttemptFailed(
+                "no connection to the endpoint", may_have_run=False
+            ) from error
 
     def _record_unreachable(self, request: ClientRequest, endpoint: Endpoint) -> None:
-        """Look for the weights elsewhere, and have the leader see to the engine."""
+        """Exclude the engine for these weights, and report it to the leader."""
         key = request.head.weights
         if key is None or request.service.engine is None:
             return
@@ -317,7 +327,8 @@
         urgency: int,
     ) -> Answer:
         head = self._encode(request, progress, endpoint, urgency)
-        # From here on it may run, whatever interrupts the wait for its answer.
+        # From this point the request may run, whatever interrupts the wait for its
+        # answer.
         progress.runs += 1
         sending = channel.send(head, request.body, request.head.id)
         wait_limit = compute_wait_limit(request, progress)
@@ -331,17 +342,21 @@
         except NotWanted as error:
             progress.runs -= 1
             progress.sends -= 1
-            raise AttemptFailed("it wants nothing now", may_have_run=False) from error
+            raise AttemptFailed(
+                "endpoint accepts no requests at present", may_have_run=False
+            ) from error
         except AnswerLost as error:
             progress.record_broken()
             self._delivery.record_failure(endpoint, str(error))
-            raise AttemptFailed("the answer was lost", may_have_run=True) from error
+            raise AttemptFailed(
+                "connection lost before the answer", may_have_run=True
+            ) from error
         if says_not_run(answer.status, answer.headers):
             progress.runs -= 1
             await self._handle_not_run(request, endpoint, answer)
         if not is_genuine(answer.status, answer.headers):
-            self._delivery.record_failure(endpoint, "not an answer of an endpoint")
-            raise AttemptFailed("the answer was spoiled", may_have_run=True)
+            self._delivery.record_failure(endpoint, "answer encoded or without stamp")
+            raise AttemptFailed("answer not genuine", may_have_run=True)
         return answer
 
     async def _wait_for_answer(
@@ -353,7 +368,7 @@
         sending: Coroutine[Any, Any, Answer],
         wait_limit: Seconds,
     ) -> Answer:
-        """Return an answer; raises ``AttemptFailed`` when it is sought elsewhere."""
+        """Return an answer; raises ``AttemptFailed`` to try another endpoint."""
         answering = asyncio.create_task(sending)
         try:
             while not (await asyncio.wait({answering}, timeout=wait_limit))[0]:
@@ -391,7 +406,7 @@
     async def _handle_not_run(
         self, request: ClientRequest, endpoint: Endpoint, answer: Answer
     ) -> None:
-        """Take in why an endpoint did not run a request; raises ``AttemptFailed``."""
+        """Record why an endpoint did not run a request; raises ``AttemptFailed``."""
         now = asyncio.get_running_loop().time()
         key = request.head.weights
         if answer.status == MISDIRECTED:
@@ -406,8 +421,12 @@
         try:
             await answer.read_all(MAX_BUFFERED_BYTES)
         except AnswerTruncated as error:
-            LOG.debug("relay: refusal of %s torn: %s", endpoint.id, error)
-        raise AttemptFailed(f"not run ({answer.status})", may_have_run=False)
+            LOG.debug(
+                "relay: refusal from endpoint %s truncated: %s", endpoint.id, error
+            )
+        raise AttemptFailed(
+            f"request not run (status {answer.status})", may_have_run=False
+        )
 
     def _encode(
         self,
@@ -437,7 +456,7 @@
         return encode_head(request.method, request.path, headers)
 
     def _choose_version(self, request: ClientRequest, endpoint: Endpoint) -> int | None:
-        """Return the version to insist on: the newest, once the endpoint has it."""
+        """Return the newest version, to be required, if the endpoint has it."""
         key = request.head.weights
         if key is None or not key.adapter:
             return None
--- a/src/kestreltally/entry/request.py
+++ b/src/kestreltally/entry/request.py
@@ -1,4 +1,4 @@
-"""A client's request as the entry holds it, and how it is read."""
+"""Client requests: the parsed representation, and reading headers and body."""
 
 import asyncio
 from dataclasses import dataclass, field
@@ -18,7 +18,7 @@
 from kestreltally.fleet.organisations import KeyDigest
 from kestreltally.platform.headers import SYSTEM_HEADERS, RequestHead
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1).
+# Hop-by-hop headers (RFC 9110, section 7.6.1).
 HOP_BY_HOP_HEADERS: Final = frozenset(
     {
         "connection",
@@ -38,7 +38,7 @@
 
 
 class Refused(Exception):
-    """A request ends here: with which status, why, and when to come back."""
+    """A request is refused, with a status, a reason and an optional retry time."""
 
     def __init__(
         self, status: int, reason: str, retry_after: Seconds | None = None
@@ -50,12 +50,12 @@
 
 
 class ClientDisconnected(Exception):
-    """The client closed its channel before its request was whole."""
+    """The client closed its connection before its request was complete."""
 
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """An organisation, and the digest of the key by which it showed itself."""
+    """An organisation, and the digest of the key by which it authenticated."""
 
     organisation: Organisation
     digest: KeyDigest = field(repr=False)
@@ -63,9 +63,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A whole request, with its route and the moment by which it must be answered.
+    """A complete request, with its route and the deadline of its answer.
 
-    Its client leaves unless the first event, or the whole answer, comes by
+    The client disconnects unless the first event, or the complete answer, arrives by
     ``first_event_deadline``.
     """
 
@@ -82,18 +82,21 @@
 
     @property
     def organisation(self) -> Organisation | None:
-        """Return whose request it is, if it needed a key."""
+        """Return the organisation of the request, None if no key was needed."""
         return self.caller.organisation if self.caller is not None else None
 
     @property
     def organisation_name(self) -> OrganisationName | None:
-        """Return the name of the organisation whose request it is, if any."""
+        """Return the name of the request's organisation, if any."""
         organisation = self.organisation
         return organisation.name if organisation is not None else None
 
     @property
     def priority(self) -> int:
-        """Return how urgent it is, 0 the most: an organisation's own goes first."""
+        """Return the priority, 0 the most urgent.
+
+        An organisation's priority takes precedence over the route's.
+        """
         organisation = self.organisation
         if organisation is None or organisation.priority is None:
             return self.route.priority
@@ -101,19 +104,19 @@
 
     @property
     def first_event_deadline(self) -> Seconds:
-        """Return by when the client must hear something."""
+        """Return the time by which the client must receive something."""
         if not self.route.patience:
             return self.deadline
         return min(self.deadline, self.arrived_at + self.route.patience)
 
     @property
     def service_name(self) -> ServiceName:
-        """Return the name of the service that takes it."""
+        """Return the name of the service that serves the request."""
         return self.service.name
 
 
 def list_passed_headers(request: web.BaseRequest) -> tuple[tuple[str, str], ...]:
-    """Return a request's headers without those of its connection and the system's."""
+    """Return a request's headers without hop-by-hop and system headers."""
     named = request.headers.get("Connection", "").lower().split(",")
     dropped = HOP_BY_HOP_HEADERS | SYSTEM_HEADERS | {each.strip() for each in named}
     return tuple(
@@ -129,7 +132,7 @@
         return b""
     length = request.content_length
     if length is not None and length > limit:
-        raise Refused(413, "the body is too long")
+        raise Refused(413, f"request body longer than {limit} bytes")
     expects = request.headers.get("Expect", "").lower() == "100-continue"
     if expects and request.transport is not None:
         request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -139,9 +142,9 @@
             async for piece in request.content.iter_any():
                 content += piece
                 if len(content) > limit:
-                    raise Refused(413, "the body is too long")
+                    raise Refused(413, f"request body longer than {limit} bytes")
     except TimeoutError as error:
-        raise Refused(408, "the body did not come in time") from error
+        raise Refused(408, f"request body not received within {timeout} s") from error
     except (ConnectionError, HTTPException, ValueError) as error:
         raise ClientDisconnected(repr(error)) from error
     return bytes(content)
--- a/src/kestreltally/entry/retries.py
+++ b/src/kestreltally/entry/retries.py
@@ -1,4 +1,4 @@
-"""The budget of repeated sends: this daemon's part of one bound over all daemons."""
+"""Retry budget: this daemon's share of one bound for all daemons."""
 
 from collections import defaultdict, deque
 from typing import Final
@@ -6,16 +6,18 @@
 from kestreltally.deployment import Bounds
 from kestreltally.fleet.model import Seconds, ServiceName
 
-# The bound holds over all daemons, and requests are not spread evenly over them.
+# Margins below this daemon's share: the bound holds for all daemons together, and
+# requests are not spread evenly over them.
 RATIO_FRACTION: Final = 0.75
 SLACK_FRACTION: Final = 0.7
 
 
 class RetryBudget:
-    """Grants sends past the first of a request, by service, in a sliding window.
+    """Grants retries by service within a sliding window.
 
-    ``daemon_count`` is how many there are, none where this one was never told: any part of
-    the slack may be too much for all together then, and it takes none.
+    ``daemon_count`` is the number of daemons, None until it is known. Without it no
+    slack is used, because any share of it may exceed the bound for all daemons
+    together.
     """
 
     def __init__(self, bounds: Bounds) -> None:
@@ -25,13 +27,13 @@
         self.daemon_count: int | None = None
 
     def record_request(self, service: ServiceName, now: Seconds) -> None:
-        """Count a request of a client."""
+        """Count a client request."""
         request_times = self._request_times[service]
         request_times.append(now)
         self._prune(request_times, now)
 
     def acquire(self, service: ServiceName, now: Seconds) -> bool:
-        """Take leave for one more send, if the budget has it."""
+        """Use one retry of the budget; return whether it had one."""
         retry_times = self._retry_times[service]
         self._prune(retry_times, now)
         if len(retry_times) + 1 > self._allowance(service, now):
@@ -40,7 +42,7 @@
         return True
 
     def remaining(self, service: ServiceName, now: Seconds) -> float:
-        """Return how many more sends the budget has."""
+        """Return the number of retries left in the budget."""
         self._prune(self._retry_times[service], now)
         return self._allowance(service, now) - len(self._retry_times[service])
 
--- a/src/kestreltally/entry/silence.py
+++ b/src/kestreltally/entry/silence.py
@@ -1,9 +1,8 @@
-"""How long an endpoint may leave a request unanswered before it is tried elsewhere.
+"""Decides when an unanswered request is retried at another endpoint.
 
-Engines begin requests of one urgency in the order of their arrival, so one that is
-sent again loses its turn, and what the engine has read of it is read once more. A
-request is therefore left where it is while its engine lives and nothing shows that
-the engine has forgotten it.
+Engines serve requests of equal urgency in order of arrival. A retry therefore loses its
+place in the queue, and its prompt is processed again. A request stays at its engine
+while the engine is alive and nothing shows that it has lost the request.
 """
 
 from dataclasses import dataclass
@@ -12,19 +11,19 @@
 
 from kestreltally.fleet.model import Seconds
 
-# A repeatable request that has got no answer after this many times its objective is
-# looked at.
+# A repeatable request without an answer is first checked after this multiple of its
+# objective.
 FIRST_CHECK_FACTOR: Final = 1.3
 MIN_FIRST_CHECK_DELAY: Final[Seconds] = 0.3
-# Then it is looked at this often: a few times within a load of an adapter.
+# Interval of the following checks: a few of them fit into the load of one adapter.
 POLL_INTERVAL: Final[Seconds] = 0.1
-# An engine that streams lets no daemon wait this long for the next bytes: the longest
-# pause between events that callers accept is 0.25 to 0.4 s.
+# An engine that is streaming sends bytes to each daemon more often than this: the
+# longest pause between events that callers accept is 0.25 to 0.4 s.
 ENDPOINT_SILENCE_TIMEOUT: Final[Seconds] = 0.5
 
 
 class Verdict(Enum):
-    """What to do with a request that has had no answer for long."""
+    """Decision on a request that has waited long for its answer."""
 
     WAIT = "wait"
     OVERTAKEN = "a later request was answered first"
@@ -34,12 +33,13 @@
 
 @dataclass(frozen=True, slots=True)
 class UnansweredRequest:
-    """A request that has had no answer for long, and what is known of its endpoint.
+    """State of a request that has waited long for its answer, and of its endpoint.
 
-    ``serves`` tells that the endpoint still counts as a holder of the weights,
-    ``has_alternative`` that another one could take the request, ``silent_for`` how long nothing
-    has come from the endpoint, ``overtaken`` that it has answered one that was sent
-    later and is not more urgent.
+    ``serves``: the endpoint still counts as a holder of the weights.
+    ``has_alternative``: another endpoint could serve the request.
+    ``silent_for``: the time since any bytes came from the endpoint.
+    ``overtaken``: the endpoint answered a request that was sent later and is not more
+    urgent.
     """
 
     serves: bool
@@ -49,7 +49,7 @@
 
 
 def evaluate_silence(request: UnansweredRequest) -> Verdict:
-    """Return whether to wait on, or why to try elsewhere."""
+    """Return whether to keep waiting, or why to try another endpoint."""
     if not request.serves:
         return Verdict.CLOSED
     if request.overtaken:
@@ -60,5 +60,5 @@
 
 
 def compute_first_check_delay(objective: Seconds) -> Seconds:
-    """Return after which time without an answer a request is looked at."""
+    """Return the time without an answer after which a request is first checked."""
     return max(MIN_FIRST_CHECK_DELAY, FIRST_CHECK_FACTOR * objective)
--- a/src/kestreltally/entry/upstream.py
+++ b/src/kestreltally/entry/upstream.py
@@ -1,8 +1,8 @@
-"""Channels to endpoints: opened, kept, and used for one request at a time.
+"""HTTP connections to endpoints (channels), pooled and used for one request at a time.
 
-The parser and the protocol are aiohttp's; its session is not used, because what may
-be sent again, which kept channel may carry a request that must not run twice, and
-when a channel with surplus bytes is dropped are decisions of this program.
+The parser and the protocol are aiohttp's. Its client session is not used, because this
+module has to decide itself what may be sent again, which pooled connection may carry a
+request that must not run twice, and when a connection with surplus bytes is dropped.
 """
 
 import asyncio
@@ -31,25 +31,24 @@
 )
 from kestreltally.sockets import harden_socket
 
-# Channels cross half a ms to a few ms; the first opening packet that is dropped is
-# sent again after a second.
+# Round trips take 0.5 ms to a few ms; a lost SYN packet is sent again only after 1 s.
 CONNECT_TIMEOUT: Final[Seconds] = 0.7
-# An idle channel is not used this long before its endpoint would close it.
+# An idle channel is no longer used this long before its endpoint would close it.
 KEEP_ALIVE_MARGIN: Final[Seconds] = 0.8
-# How long an idle channel is kept when the endpoint names no time.
+# How long an idle channel is kept if the endpoint names no keep-alive time.
 DEFAULT_IDLE_TIMEOUT: Final[Seconds] = 4.0
 MAX_IDLE_TIMEOUT: Final[Seconds] = 10.0
 READ_BUFFER_BYTES: Final = 2**16
 MAX_HEAD_BYTES: Final = 32_768
-# How many answers to other requests are skipped before a channel is given up.
+# Number of answers to other requests that are skipped before a channel is given up.
 MAX_SURPLUS_ANSWERS: Final = 3
 _KEEP_ALIVE: Final = re.compile(r"timeout=(\d+)")
 
 
 class NotConnected(Exception):
-    """No channel could be opened: nothing was sent.
+    """No channel could be opened, and nothing was sent.
 
-    ``refused`` tells that nobody listens there.
+    ``refused`` is true if the connection was refused: nothing listens at the address.
     """
 
     def __init__(self, reason: str, *, refused: bool = False) -> None:
@@ -58,26 +57,28 @@
 
 
 class AnswerLost(Exception):
-    """The channel failed after the request was sent: it may have run."""
+    """The channel failed after the request was sent; the request may have run."""
 
 
 class AnswerTruncated(Exception):
-    """The answer's body broke off before its end."""
+    """The body of an answer was truncated."""
 
 
 class _Protocol(ResponseHandler):
-    """aiohttp's protocol, but a reset never ends a body that has no length."""
+    """aiohttp's protocol, but a reset does not complete a body without length."""
 
     def connection_lost(self, exc: BaseException | None) -> None:
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
-            payload.set_exception(ClientPayloadError("reset before the end"))
+            payload.set_exception(
+                ClientPayloadError("connection reset before the end of the body")
+            )
         super().connection_lost(exc)
 
 
 @dataclass(slots=True)
 class Answer:
-    """The head of an endpoint's answer, and its body to come."""
+    """An endpoint's answer: status and headers, and the body still to be read."""
 
     status: int
     reason: str
@@ -86,9 +87,9 @@
     body: StreamReader
 
     async def read_all(self, limit: int) -> bytes | None:
-        """Return the body, or none once it exceeds a limit; raises ``AnswerTruncated``.
+        """Return the body, None if it exceeds a limit; raises ``AnswerTruncated``.
 
-        What was read of a body over the limit is put back for ``read_some``.
+        The bytes read of a body over the limit are put back for ``read_some``.
         """
         content = bytearray()
         while not self.body.at_eof():
@@ -99,7 +100,7 @@
         return bytes(content)
 
     async def read_some(self) -> bytes:
-        """Return the next bytes of the body, none at its end."""
+        """Return the next bytes of the body, empty at its end."""
         try:
             return await self.body.readany()
         except (ClientError, OSError, HttpProcessingError) as error:
@@ -107,10 +108,10 @@
 
 
 class Channel:
-    """One connection to an endpoint, to one start of it.
+    """One connection to one incarnation of an endpoint.
 
-    It is where all that an endpoint says comes through: answers that are handed on,
-    refusals, reports, answers to orders, and those that nobody waits for any more.
+    All messages of an endpoint pass through it: answers to forward, refusals, reports,
+    answers to orders, and late answers that nothing waits for any more.
     """
 
     def __init__(
@@ -124,30 +125,30 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Return where the endpoint listens."""
+        """Return the host and port of the endpoint."""
         return self._endpoint.host, self._endpoint.port
 
     def serve(self, endpoint: Endpoint) -> None:
-        """Use the channel for an endpoint as it is known now."""
+        """Use the channel for the current record of its endpoint."""
         self._endpoint = endpoint
 
     @property
     def reusable(self) -> bool:
-        """Tell whether nothing but a whole answer has come and it is still open."""
+        """Return whether the channel is open and no surplus bytes have arrived."""
         return self._protocol.is_connected() and not self._protocol.should_close
 
     async def send(self, head: bytes, body: bytes, request_id: str | None) -> Answer:
-        """Send a request and return the head of its answer; raises ``NotWanted``.
+        """Send a request and return the head of its answer.
 
-        A faulty endpoint may send a second answer to an earlier request; such are
-        skipped, and the channel is not kept; without a ``request_id`` any answer is
-        taken. Raises ``AnswerLost`` once any byte may
-        have left.
+        A faulty endpoint may send a second answer to an earlier request. Such answers
+        are skipped, and the channel is not kept. Without a ``request_id`` any answer is
+        accepted. Raises ``NotWanted`` if nothing was sent, and ``AnswerLost`` once any
+        byte may have been sent.
         """
         protocol = self._protocol
         transport = protocol.transport
         if transport is None:
-            raise AnswerLost("closed before the request was sent")
+            raise AnswerLost("channel closed before the request was sent")
         protocol.set_response_params(
             skip_payload=head.startswith(b"HEAD "),
             read_until_eof=True,
@@ -163,7 +164,7 @@
             answer = await self._read_head()
             for _ in range(MAX_SURPLUS_ANSWERS):
                 matches = request_id in (None, read_answer_id(answer.headers))
-                # An answer of an earlier request may be as old as that.
+                # An answer to an earlier request may be of any age.
                 asked_at = sent_at if matches else NEVER
                 self._apply_notice(answer, asked_at, signed=request_id is not None)
                 if matches:
@@ -176,7 +177,9 @@
         finally:
             if trial:
                 self._notices.end_trial(self._endpoint)
-        raise AnswerLost("answers of other requests only")
+        raise AnswerLost(
+            f"the first {MAX_SURPLUS_ANSWERS} answers were to other requests"
+        )
 
     async def _read_head(self) -> Answer:
         message, payload = await self._protocol.read()
@@ -191,10 +194,11 @@
         )
 
     def _apply_notice(self, answer: Answer, sent_at: Seconds, *, signed: bool) -> None:
-        """Take in what an answer says of its endpoint.
+        """Apply the notice that an answer contains about its endpoint.
 
-        One of another endpoint at the same address, or one that no endpoint gave, says
-        nothing; answers to ``signed`` requests show that they are genuine.
+        Answers of another endpoint at the same address, and those that are not genuine,
+        are ignored. Only answers to ``signed`` requests can be checked for being
+        genuine.
         """
         instance = read_instance(answer.headers)
         if instance and instance != self._endpoint.id:
@@ -208,22 +212,22 @@
         )
 
     def apply_keep_alive(self, answer: Answer, now: Seconds) -> None:
-        """Take in how long the endpoint keeps the channel open when idle."""
+        """Apply the idle time after which the endpoint closes the channel."""
         match = _KEEP_ALIVE.search(answer.headers.get("Keep-Alive", ""))
         timeout = float(match[1]) - KEEP_ALIVE_MARGIN if match else DEFAULT_IDLE_TIMEOUT
         self.usable_until = now + min(timeout, MAX_IDLE_TIMEOUT)
 
     def abort(self) -> None:
-        """Close at once, dropping what has not been sent."""
+        """Close at once, dropping unsent bytes."""
         self._protocol.abort()
 
     def close(self) -> None:
-        """Close after what was written has been sent."""
+        """Close after the written bytes have been sent."""
         self._protocol.close()
 
 
 class ChannelPool:
-    """Kept channels by address, the one used last first."""
+    """Pooled channels by address; the most recently used is reused first."""
 
     def __init__(self, notices: NoticeTable) -> None:
         self._notices = notices
@@ -232,7 +236,7 @@
         self.used = 0
 
     async def acquire(self, endpoint: Endpoint) -> Channel:
-        """Return a kept channel or a new one; raises ``NotConnected``."""
+        """Return a pooled channel or a new one; raises ``NotConnected``."""
         self.used += 1
         address = (endpoint.host, endpoint.port)
         loop = asyncio.get_running_loop()
@@ -274,14 +278,14 @@
         return Channel(protocol, endpoint, self._notices)
 
     def release(self, channel: Channel, *, keep: bool) -> None:
-        """Give a channel back; one that is not kept is closed at once."""
+        """Return a channel to the pool; one that is not kept is closed at once."""
         if keep and channel.reusable:
             self._idle[channel.address].append(channel)
         else:
             channel.abort()
 
     def close_expired(self, now: Seconds) -> None:
-        """Close kept channels whose time is over."""
+        """Close pooled channels whose idle time is over."""
         for address, idle in list(self._idle.items()):
             kept = deque(c for c in idle if c.reusable and now < c.usable_until)
             for channel in idle:
@@ -293,7 +297,7 @@
                 del self._idle[address]
 
     def close(self) -> None:
-        """Close all kept channels."""
+        """Close all pooled channels."""
         for idle in self._idle.values():
             for channel in idle:
                 channel.close()
@@ -301,7 +305,7 @@
 
 
 def encode_head(method: str, path: str, headers: Iterable[tuple[str, str]]) -> bytes:
-    """Return the bytes of a request's head; the path goes out as it came."""
+    """Return the bytes of a request's head; the path is sent unchanged."""
     lines = [f"{method} {path} HTTP/1.1"]
     lines.extend(f"{name}: {value}" for name, value in headers)
     text = "\r\n".join(lines) + "\r\n\r\n"
--- a/src/kestreltally/entry/waiting.py
+++ b/src/kestreltally/entry/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait until an endpoint can take them: for weights, or for a turn."""
+"""Requests that wait until an endpoint can serve them: for weights or a credit."""
 
 import asyncio
 from collections import defaultdict
@@ -10,15 +10,15 @@
 # What a request waits for: weights on an engine, or an endpoint of a plain service.
 WaitTarget = WeightsKey | ServiceName
 
-# The priorities of engines end here.
+# The highest priority number of engines, which is the least urgent.
 LOWEST_URGENCY: Final = 9
 
 
 class Waiters:
-    """Wakes requests when what they wait for has come."""
+    """Wakes requests when their wait target becomes available."""
 
     def __init__(self) -> None:
-        # By what they wait for: their urgency, 0 the most urgent, in their order.
+        # By target, in order of arrival: the urgency of each waiter, 0 the most urgent.
         self._waiting: dict[WaitTarget, dict[asyncio.Future[None], int]] = defaultdict(
             dict
         )
@@ -26,7 +26,7 @@
     async def wait(
         self, target: WaitTarget, timeout: Seconds, urgency: int = LOWEST_URGENCY
     ) -> bool:
-        """Wait until something has come; tell whether it did in time."""
+        """Wait for a target; return whether it became available in time."""
         future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._waiting[target][future] = urgency
         try:
@@ -42,14 +42,14 @@
         return True
 
     def wake(self, available: Iterable[WaitTarget]) -> None:
-        """Wake the requests that wait for any of some things."""
+        """Wake all requests that wait for any of the targets."""
         for each in available:
             for future in self._waiting.get(each, ()):
                 if not future.done():
                     future.set_result(None)
 
     def wake_most_urgent(self, available: Iterable[WaitTarget]) -> None:
-        """Wake the most urgent of the requests that wait for any of some things."""
+        """Wake the most urgent request that waits for any of the targets."""
         waiting = [
             (urgency, future)
             for each in available
--- a/src/kestreltally/estimates/__init__.py
+++ b/src/kestreltally/estimates/__init__.py
@@ -1,1 +1,1 @@
-"""Estimates of time: when a request would be answered at an endpoint, and how sure."""
+"""Estimates of when an endpoint would answer a request."""
--- a/src/kestreltally/estimates/prefill.py
+++ b/src/kestreltally/estimates/prefill.py
@@ -1,12 +1,14 @@
-"""How fast engines read prompts, learned from the times to the first event.
+"""Estimates prefill times of engines from observed times to the first event.
 
-An engine reads prompts one after another: the urgent ones are let in first, others in
-the order of their arrival, and nothing that is being read gives way. So
+An engine processes prompts one after another: urgent ones first, others in order of
+arrival, without preemption. The model is
 
-    time to the first event = base + pace x (own unread tokens + part x tokens ahead)
+    time to first event
+        = base_latency + token_time x (own_tokens + fraction x queued_tokens)
 
-where ``token_time`` belongs to the engine, ``base_latency`` to all engines, and ``part`` to the
-priority of the request: how much of what is ahead it has to wait for.
+where ``token_time`` (prefill seconds per prompt token) is learned per engine,
+``base_latency`` for all engines together, and ``fraction`` per request priority: the
+fraction of the queued tokens that a request has to wait for.
 """
 
 from dataclasses import dataclass, field
@@ -14,29 +16,36 @@
 
 from kestreltally.fleet.model import EndpointId, Seconds
 
-# Beliefs before anything was seen; each sample moves them by a tenth to a fifth. An
-# accelerator reads some 40 tokens in a ms, and says its first word in some 20 ms.
+# Initial estimates. Each sample moves an estimate by 10 to 20 % of the difference. An
+# accelerator prefills about 40 tokens per ms and emits its first token after about
+# 20 ms.
 INITIAL_TOKEN_TIME: Final[Seconds] = 1 / 40_000
 INITIAL_BASE_LATENCY: Final[Seconds] = 0.02
 INITIAL_FRACTION: Final = 1.0
 TOKEN_TIME_WEIGHT: Final = 0.15
 BASE_LATENCY_WEIGHT: Final = 0.1
 FRACTION_WEIGHT: Final = 0.1
-# An engine's own pace is believed as much as all engines' after so many samples.
+# After this many samples an engine's own token time weighs as much as the typical one.
 PRIOR_SAMPLES: Final = 3.0
-# A pace is learned from prompts so long that reading is most of the time, with hardly
-# anything ahead; a base from short ones; a part where much is ahead.
+# The token time is learned from prompts long enough that prefill dominates, with hardly
+# anything queued before them; the base latency from short prompts; the fraction where
+# many tokens are queued.
 LONG_PROMPT_TOKENS: Final = 2_000
 SHORT_PROMPT_TOKENS: Final = 300
 MAX_QUEUED_FRACTION: Final = 0.25
-# One sample changes a belief by this factor at most: a hung request is no slow engine.
+# Bounds the factor between a sample and the estimate that it updates, because a hung
+# request does not mean that the engine is slow.
 MAX_STEP_FACTOR: Final = 4.0
 MAX_FRACTION: Final = 1.5
 
 
 @dataclass(frozen=True, slots=True)
 class PrefillWork:
-    """What is to be read before a request begins: own unread tokens, and others'."""
+    """Prompt tokens to process before the first event of a request.
+
+    ``own_tokens`` are those of the request itself that are not cached;
+    ``queued_tokens`` those of other requests at the same engine.
+    """
 
     own_tokens: int
     queued_tokens: float
@@ -45,7 +54,7 @@
 
 @dataclass(slots=True)
 class _TokenTime:
-    """The seconds a token of one engine, and how many samples tell them."""
+    """Prefill seconds per prompt token of one engine, and the number of samples."""
 
     seconds: Seconds
     samples: float = 0.0
@@ -53,7 +62,7 @@
 
 @dataclass(slots=True)
 class PrefillTimeTable:
-    """What was learned of reading; see the module's text for the terms."""
+    """Learned prefill times; the module docstring defines the terms."""
 
     base_latency: Seconds = INITIAL_BASE_LATENCY
     typical_token_time: Seconds = INITIAL_TOKEN_TIME
@@ -61,7 +70,10 @@
     _fractions: dict[int, float] = field(default_factory=dict)
 
     def compute_token_time(self, endpoint: EndpointId) -> Seconds:
-        """Return the seconds a token of an engine; few samples count little."""
+        """Return an engine's prefill seconds per prompt token.
+
+        With few samples the result stays close to the typical token time.
+        """
         row = self._token_times.get(endpoint)
         if row is None:
             return self.typical_token_time
@@ -69,27 +81,27 @@
         return confidence * row.seconds + (1 - confidence) * self.typical_token_time
 
     def compute_fraction(self, priority: int) -> float:
-        """Return which part of the tokens ahead requests of a priority wait for."""
+        """Return the fraction of the queued tokens that a priority waits for."""
         return self._fractions.get(priority, INITIAL_FRACTION)
 
     def predict(self, endpoint: EndpointId, work: PrefillWork) -> Seconds:
-        """Return the time to the first event of a request sent now."""
+        """Return the predicted time to the first event of a request sent now."""
         return self.base_latency + self.compute_token_time(
             endpoint
         ) * self._count_tokens(work)
 
     def predict_unqueued(self, tokens: int) -> Seconds:
-        """Return the time to the first event at a usual engine with nothing ahead."""
+        """Return the predicted time to the first event at a typical, idle engine."""
         return self.base_latency + self.typical_token_time * tokens
 
     def _count_tokens(self, work: PrefillWork) -> float:
-        """Return the tokens that are read before a request begins."""
+        """Return the tokens that are processed before the first event."""
         return (
             work.own_tokens + self.compute_fraction(work.priority) * work.queued_tokens
         )
 
     def learn(self, endpoint: EndpointId, work: PrefillWork, took: Seconds) -> None:
-        """Take in how long a request took to its first event."""
+        """Update the estimates with a request's observed time to its first event."""
         if (
             work.own_tokens >= LONG_PROMPT_TOKENS
             and work.queued_tokens <= MAX_QUEUED_FRACTION * work.own_tokens
@@ -125,5 +137,5 @@
         self._fractions[priority] = known + FRACTION_WEIGHT * (bounded - known)
 
     def remove(self, endpoint: EndpointId) -> None:
-        """Drop an engine that is gone."""
+        """Remove the estimate of a removed engine."""
         self._token_times.pop(endpoint, None)
--- a/tests/entryrig.py
+++ b/tests/entryrig.py
@@ -1,4 +1,4 @@
-"""An entry before scripted endpoints on loopback, and raw clients of it."""
+"""An entry in front of scripted endpoints on loopback, with raw HTTP clients."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -33,7 +33,7 @@
 from kestreltally.quotas.limiters import DEFAULT, LIMITERS, Limiter
 from tests.ports import reserve_port
 
-# How many daemons there are, as this one was told.
+# The number of daemons that is set on the retry budget.
 DAEMONS = 8
 BOUNDS = Bounds(
     drain=2.0,
@@ -55,7 +55,7 @@
 
 @dataclass
 class SeenRequest:
-    """What an endpoint got."""
+    """A request as an endpoint received it."""
 
     head: bytes
     body: bytes
@@ -91,7 +91,7 @@
 
 @dataclass
 class ScriptedEndpoint:
-    """A server that does with each request what its script says."""
+    """A server that runs a script for each request."""
 
     name: str
     script: Script
@@ -159,7 +159,7 @@
 def make_request(
     route: Route, prompt_tokens: int = 9_000, arrived_at: float = 100.0
 ) -> ClientRequest:
-    """Return a request for an adapter of an engine."""
+    """Return a request for an adapter on an engine."""
     return ClientRequest(
         method="POST",
         path="/r/x",
@@ -188,7 +188,7 @@
 
 @dataclass
 class Reply:
-    """What a client got until the channel ended or the answer was whole."""
+    """What a client received until the connection closed or the answer was complete."""
 
     status: int
     headers: dict[str, str]
@@ -198,7 +198,7 @@
 
 @dataclass
 class EntryRig:
-    """A running entry and its parts."""
+    """A running entry and its components."""
 
     fleet: Fleet
     relay: Relay
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Nobody in time is sent back, and nobody is held who is known to be lost."""
+"""Admission: requests that can meet their objective are not refused, lost ones are."""
 
 import pytest
 from hypothesis import given
@@ -18,7 +18,7 @@
 OBJECTIVE = 0.8
 PATIENCE = 3.2
 TIMEOUT = 5.0
-# Beliefs of a daemon that has seen nothing yet: estimates/prefill.py.
+# Initial estimates of estimates/prefill.py.
 BASE, PACE = 0.02, 1 / 40_000
 
 
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint is chosen for a request."""
+"""The choice of an endpoint for a request."""
 
 import pytest
 
@@ -25,10 +25,10 @@
     [
         (make_option("b", in_flight=4), "a"),
         (make_option("b", remote=True), "a"),
-        # Its batch is empty, but a long prompt keeps it from beginning.
+        # Its batch is empty, but it has a long prompt to process first.
         (make_option("b", first_event_delay=0.6), "a"),
         (make_option("b", first_event_delay=0.12), "b"),
-        # It has read the prompt before.
+        # The prompt is cached there.
         (make_option("b", in_flight=3, first_event_delay=0.02), "b"),
     ],
 )
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -1,4 +1,4 @@
-"""What is an end of an endpoint, what is none, and which requests were there."""
+"""Detection of endpoint ends, and of the requests that were running there."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -45,7 +45,7 @@
 
 @dataclass
 class Rig:
-    """A watch whose clock and endpoints are set by hand."""
+    """An ``EndWatch`` with a manual clock and scripted endpoints."""
 
     clock: ManualClock = field(default_factory=ManualClock)
     received_at: float = 0.0
@@ -134,7 +134,8 @@
 
 
 async def test_removed_entry_of_an_answering_endpoint_is_not_an_end() -> None:
-    # Some never say that they leave: their entry goes, and they serve on.
+    # Some endpoints never announce that they leave: their entry is removed, and they
+    # keep serving.
     rig = Rig()
     rig.send(make_endpoint())
     rig.clock.now += 10.0
@@ -247,7 +248,7 @@
 @pytest.mark.parametrize("runs", [0, 1])
 async def test_status_of_a_stopped_request_depends_on_whether_it_ran(runs: int) -> None:
     async def answer(seen: SeenRequest, writer: asyncio.StreamWriter) -> None:
-        # While it runs here, the ends that stop it are told.
+        # The ends that stop the request are reported while it runs.
         tell()
         writer.transport.abort()
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""The entry over true sockets, before endpoints that misbehave."""
+"""The entry over real sockets, in front of endpoints that misbehave."""
 
 import asyncio
 import socket
@@ -194,7 +194,8 @@
 
 
 async def test_last_allowed_attempt_waits_until_the_deadline() -> None:
-    # trouble-3 of ondalunga-catchup: 502 after 0.3 s of a second with time left.
+    # Guards against a 502 after 0.3 s of silence at the last allowed endpoint while the
+    # request still has time left.
     async def answer_late(seen: SeenRequest, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.6)
         writer.write(make_answer(seen))
@@ -280,7 +281,7 @@
 
 
 def make_streamer(first: int, last: int, *, whole: bool) -> object:
-    """Send events of a stream, after the last one asked for, and end it or not."""
+    """Return a script that streams events after the last id, then ends or breaks."""
 
     async def stream(seen: SeenRequest, writer: asyncio.StreamWriter) -> None:
         after = int(seen.find(b"last-event-id") or first - 1)
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -1,4 +1,4 @@
-"""Times to the first event are learned while running, and told truly."""
+"""Prefill times are learned from observed times to the first event."""
 
 import pytest
 from hypothesis import given
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -1,4 +1,4 @@
-"""Who may ask: keys, organisations, and how old a word on them may be."""
+"""Keys, organisations, quotas, and the age limit of the configuration."""
 
 import asyncio
 from collections.abc import Callable
@@ -146,7 +146,7 @@
         spent = rig.limiter.take_spendings()
     assert (refused.status, refused.headers["retry-after"]) == (429, "1.50")
     assert other.status == 200
-    # A plain request counts what the quota says, and was not granted.
+    # A plain request counts the fixed units of its quota, and was not granted.
     assert [(each.asked, each.granted) for each in spent] == [(200, 0)]
 
 
@@ -174,7 +174,7 @@
     )
     assert open_to_all.status == 200
     assert len(endpoint.seen) == 1
-    # Nobody is heard: others are better asked.
+    # No leader is in contact, so other daemons are the better choice.
     assert not ready
 
 
@@ -230,7 +230,7 @@
     assert "key-a" not in repr(configuration)
 
 
-# How old the word is.
+# The age limit of the configuration.
 
 
 def test_authority_holds_up_to_the_bound() -> None:
@@ -252,7 +252,7 @@
 
 
 class SlowStore:
-    """Answers after some seconds, with what it held when it was asked."""
+    """Answers after a delay, with its state at the time of the request."""
 
     def __init__(self, clock: ManualClock, takes: float) -> None:
         self._clock = clock
@@ -276,7 +276,7 @@
 
 
 async def test_restored_store_confirms_nothing_until_rewritten() -> None:
-    # What took a key away may be among what the store has lost.
+    # The change that revoked a key may be among the writes that the store has lost.
     clock = ManualClock()
     authority = Authority(BOUND, clock)
     store = SlowStore(clock, 0.01)
@@ -332,7 +332,7 @@
         assert believed <= proof + 1e-6
 
 
-# The configuration's own words.
+# Decoding of organisations from the configuration document.
 
 TENANT = {
     "Name": "hule930",
--- a/tests/test_prediction_metrics.py
+++ b/tests/test_prediction_metrics.py
@@ -1,4 +1,4 @@
-"""Anybody can see how well times are predicted."""
+"""Metrics of prediction errors."""
 
 from kestreltally.fleet_metrics import FleetMetrics, RequestEnd
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""Repeated sends of all daemons together keep the operators' bound."""
+"""The retries of all daemons together stay within the configured bound."""
 
 import pytest
 
@@ -24,7 +24,7 @@
             now = at * DURATION / asked
             budget.record_request(SERVICE, now)
             requests += 1
-            # Each request fails, and is sent again as often as it may be.
+            # Each request fails, and is retried as often as the budget allows.
             while budget.acquire(SERVICE, now):
                 acquired += 1
     assert acquired <= BOUNDS.retry_ratio * requests + BOUNDS.retry_slack
@@ -34,7 +34,7 @@
 def test_retries_stay_within_the_bound_while_daemon_count_is_unknown(
     daemons: int,
 ) -> None:
-    # Guards against each of many taking the part of one of a few.
+    # Guards against each of many daemons using the slack share of a small group.
     requests = acquired = 0
     for _ in range(daemons):
         budget = RetryBudget(BOUNDS)
@@ -45,5 +45,5 @@
             while budget.acquire(SERVICE, now):
                 acquired += 1
     assert acquired <= BOUNDS.retry_ratio * requests + BOUNDS.retry_slack
-    # What its own requests allow it may use.
+    # The share from its own requests is still available.
     assert acquired >= 0.5 * BOUNDS.retry_ratio * requests
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,4 @@
-"""A request keeps its turn at a live engine, and leaves one that has lost it."""
+"""Unanswered requests stay at a live engine and leave one that has lost them."""
 
 import asyncio
 
@@ -78,8 +78,9 @@
 
 
 async def test_queued_request_is_not_sent_again() -> None:
-    # Seen on scale-1 of the radar tiles' days: a fifth of the long prompts was sent
-    # to the same engine once more after 1.3 times its objective, and lost its turn.
+    # Guards against sending a long prompt to the same engine again after 1.3 times its
+    # objective, by which it loses its place in the engine's queue. Under load this hit
+    # a fifth of the long prompts.
     async def answer_late(seen: SeenRequest, writer: asyncio.StreamWriter) -> None:
         await asyncio.sleep(0.8)
         writer.write(make_answer(seen, b"id: 1\ndata: x\n\n"))
--- a/tests/test_urgency.py
+++ b/tests/test_urgency.py
@@ -1,4 +1,4 @@
-"""What is late already yields to what can still be in time."""
+"""Late requests yield to those that can still meet their objective."""
 
 from dataclasses import replace
 
