--- a/bench/logcost.py
+++ b/bench/logcost.py
@@ -15,7 +15,7 @@
 
 import click
 
-from kestreltally.decisions import Decision, log_decision, log_left_out
+from kestreltally.decisions import Decision, log_decision, log_suppressed
 from kestreltally.logs import LineWriter
 
 USUAL_RATE: Final = 35
@@ -76,7 +76,7 @@
         )
         longest = max(longest, time.perf_counter() - began)
         await asyncio.sleep(1 / rate)
-    log_left_out(LOG, 0)
+    log_suppressed(LOG, 0)
     return longest
 
 
--- a/src/kestreltally/daemon.py
+++ b/src/kestreltally/daemon.py
@@ -25,16 +25,16 @@
 from kestreltally.objectapi.objects import HttpObjectApi
 from kestreltally.objectapi.vms import HttpVmList
 from kestreltally.operators.surface import OperatorSurface
-from kestreltally.orders import StopAsked
+from kestreltally.orders import StopRequested
 from kestreltally.peers.transport import PeerServer, ThriftTransport
 from kestreltally.policies.registry import UnknownPolicy, require_policy
 from kestreltally.requests.claims import Claims
 from kestreltally.requests.flow import RequestServer
 from kestreltally.runtime import Ports, Runtime
 from kestreltally.settings import (
-    EXIT_BAD_SETTINGS,
+    EXIT_INVALID_SETTINGS,
     Address,
-    BadSettings,
+    InvalidSettings,
     Settings,
     load_settings,
 )
@@ -45,17 +45,19 @@
 
 LOG = logging.getLogger("kestreltally.daemon")
 MILLISECONDS: Final = 1000
-STOP_CHECK: Final[Seconds] = 0.05
+STOP_POLL_INTERVAL: Final[Seconds] = 0.05
 SWEEP_PERIOD: Final[Seconds] = 300.0
 SWEEP_DUTY: Final = "claim-sweep"
-SHUTDOWN_WITHIN: Final[Seconds] = 1.0
+SHUTDOWN_TIMEOUT: Final[Seconds] = 1.0
 EXIT_CANNOT_LISTEN: Final = 3
 EXIT_FAILED: Final = 4
 
 
-def make_world(settings: Settings, now: Seconds, wall: Callable[[], float]) -> World:
+def make_world(
+    settings: Settings, now: Seconds, wall_clock: Callable[[], float]
+) -> World:
     """Return the empty tables of a daemon that starts now."""
-    incarnation = int(wall() * MILLISECONDS)
+    incarnation = int(wall_clock() * MILLISECONDS)
     identity = Identity(
         vm=VmId(settings.vm),
         host=settings.peers.host,
@@ -67,7 +69,7 @@
         identity=identity,
         settings=settings,
         random=random.Random(f"{settings.vm}/{incarnation}"),
-        events=Timeline(settings.vm, incarnation, settings.timeline_events, wall),
+        events=Timeline(settings.vm, incarnation, settings.timeline_events, wall_clock),
         invariants=Invariants(raises=settings.invariants == "raise"),
         now=now,
         started_at=now,
@@ -108,7 +110,7 @@
             max_line_size=settings.limits.header_bytes,
             max_field_size=settings.limits.header_bytes,
             keepalive_timeout=settings.limits.idle,
-            shutdown_timeout=SHUTDOWN_WITHIN,
+            shutdown_timeout=SHUTDOWN_TIMEOUT,
             access_log=None,
         )
         self._operators_runner = web.AppRunner(
@@ -116,17 +118,19 @@
             access_log=None,
         )
         self._peers = PeerServer(self._runtime.receive)
-        self._sweeping: asyncio.Task[None] | None = None
+        self._sweep_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Listen on all sides; raises ``OSError`` when an address is taken."""
-        own = self._settings
-        await self._peers.start(own.peers.host, own.peers.port)
-        await _listen(self._operators_runner, own.operators)
-        await _listen(self._callers_runner, own.callers)
+        settings = self._settings
+        await self._peers.start(settings.peers.host, settings.peers.port)
+        await _listen(self._operators_runner, settings.operators)
+        await _listen(self._callers_runner, settings.callers)
         self._runtime.start()
-        self._sweeping = asyncio.create_task(self._sweep_claims())
-        LOG.info("daemon: %s serves callers on port %d", own.vm, own.callers.port)
+        self._sweep_task = asyncio.create_task(self._sweep_claims())
+        LOG.info(
+            "daemon: %s serves callers on port %d", settings.vm, settings.callers.port
+        )
 
     async def _sweep_claims(self) -> None:
         """Delete old claims, while that is this daemon's duty."""
@@ -148,31 +152,33 @@
         Return false when a task of the runtime failed: a daemon whose tick is
         dead must go, for its replacement starts clean.
         """
-        asked = asyncio.create_task(stop.wait())
+        stop_requested = asyncio.create_task(stop.wait())
         failed = asyncio.create_task(self._runtime.failed.wait())
-        await asyncio.wait({asked, failed}, return_when=asyncio.FIRST_COMPLETED)
-        whole = not self._runtime.failed.is_set()
-        if whole:
+        await asyncio.wait(
+            {stop_requested, failed}, return_when=asyncio.FIRST_COMPLETED
+        )
+        succeeded = not self._runtime.failed.is_set()
+        if succeeded:
             await self.stop()
-        asked.cancel()
+        stop_requested.cancel()
         failed.cancel()
-        return whole
+        return succeeded
 
     async def stop(self) -> None:
         """Stop as planned: hand over, finish what runs, then go."""
         world = self._runtime.world
         LOG.info("daemon: planned stop begins")
         self._operators.ready = False
-        self._runtime.post(StopAsked())
+        self._runtime.post(StopRequested())
         await asyncio.sleep(self._settings.stop_notice)
         loop = asyncio.get_running_loop()
         limit = loop.time() + self._settings.stop_limit
         while loop.time() < limit:
             others = len(list_eligible(world))
-            handed = not world.leaders.led or not others
-            if handed and not self._requests.live and not world.entry.held:
+            handed_over = not world.leaders.led or not others
+            if handed_over and not self._requests.live and not world.entry.held:
                 break
-            await asyncio.sleep(STOP_CHECK)
+            await asyncio.sleep(STOP_POLL_INTERVAL)
         self._requests.accepts = False
         LOG.info(
             "daemon: planned stop ends with %d requests and %d endpoints left",
@@ -182,8 +188,8 @@
 
     async def close(self) -> None:
         """Let go of everything."""
-        if self._sweeping is not None:
-            self._sweeping.cancel()
+        if self._sweep_task is not None:
+            self._sweep_task.cancel()
         await self._callers_runner.cleanup()
         await self._operators_runner.cleanup()
         await self._runtime.stop()
@@ -202,14 +208,14 @@
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
 
-    def take_signal() -> None:
+    def handle_signal() -> None:
         if stop.is_set():
             LOG.warning("daemon: second signal, ends at once")
             sys.exit(1)
         stop.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, take_signal)
+        loop.add_signal_handler(number, handle_signal)
     daemon = Daemon(settings)
     try:
         await daemon.start()
@@ -217,19 +223,19 @@
         LOG.error("daemon: cannot listen: %s", error)
         await daemon.close()
         return EXIT_CANNOT_LISTEN
-    whole = await daemon.run_until(stop)
+    succeeded = await daemon.run_until(stop)
     await daemon.close()
     LOG.info("daemon: stopped")
-    return 0 if whole else EXIT_FAILED
+    return 0 if succeeded else EXIT_FAILED
 
 
 def read_checked_settings(path: Path) -> Settings:
-    """Return the settings of a file, policies included; raises ``BadSettings``."""
+    """Return the settings of a file, policies included; raises ``InvalidSettings``."""
     settings = load_settings(path)
     try:
         require_policy(settings.placement.policy)
     except UnknownPolicy as error:
-        raise BadSettings(f"{path}: {error}") from error
+        raise InvalidSettings(f"{path}: {error}") from error
     return settings
 
 
@@ -246,9 +252,9 @@
     """Run a kestreltally daemon."""
     try:
         settings = read_checked_settings(path)
-    except BadSettings as error:
+    except InvalidSettings as error:
         click.echo(str(error), err=True)
-        sys.exit(EXIT_BAD_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     if check:
         click.echo(f"{path}: the settings are good")
         return
--- a/src/kestreltally/decisions.py
+++ b/src/kestreltally/decisions.py
@@ -116,46 +116,46 @@
 
 
 @dataclass(slots=True)
-class _Allowance:
+class _TokenBucket:
     """What a kind may still log: a bucket of a second's lines."""
 
-    lines: float
-    filled_at: float
-    left_out: int = 0
+    tokens: float
+    refilled_at: float
+    suppressed: int = 0
 
 
-class Thinner:
+class LogRateLimiter:
     """Keeps each kind of line within its rate and counts what is left out."""
 
     def __init__(self) -> None:
-        self._allowances: dict[Decision, _Allowance] = {}
+        self._buckets: dict[Decision, _TokenBucket] = {}
 
-    def keeps(self, decision: Decision, now: float) -> bool:
+    def allows(self, decision: Decision, now: float) -> bool:
         """Tell whether a line of a kind is kept at a moment."""
-        most = decision.lines_per_second
-        allowance = self._allowances.get(decision)
-        if allowance is None:
-            allowance = self._allowances[decision] = _Allowance(most, now)
-        gained = (now - allowance.filled_at) * most
-        allowance.lines = min(most, allowance.lines + gained)
-        allowance.filled_at = now
-        if allowance.lines < 1:
-            allowance.left_out += 1
+        rate = decision.lines_per_second
+        bucket = self._buckets.get(decision)
+        if bucket is None:
+            bucket = self._buckets[decision] = _TokenBucket(rate, now)
+        refill = (now - bucket.refilled_at) * rate
+        bucket.tokens = min(rate, bucket.tokens + refill)
+        bucket.refilled_at = now
+        if bucket.tokens < 1:
+            bucket.suppressed += 1
             return False
-        allowance.lines -= 1
+        bucket.tokens -= 1
         return True
 
-    def take_left_out(self) -> dict[str, int]:
+    def pop_suppressed(self) -> dict[str, int]:
         """Return how many lines of each kind were left out since the last call."""
-        left_out = {}
-        for decision, allowance in self._allowances.items():
-            if allowance.left_out:
-                left_out[decision.name.lower()] = allowance.left_out
-                allowance.left_out = 0
-        return left_out
+        suppressed = {}
+        for decision, bucket in self._buckets.items():
+            if bucket.suppressed:
+                suppressed[decision.name.lower()] = bucket.suppressed
+                bucket.suppressed = 0
+        return suppressed
 
 
-_THINNER: Final = Thinner()
+_RATE_LIMITER: Final = LogRateLimiter()
 # How often each decision was made, also where its line was thinned.
 COUNTS: Final[Counter[Decision]] = Counter()
 
@@ -165,13 +165,15 @@
 ) -> None:
     """Count a decision, and write its line with what decided it, unless thinned."""
     COUNTS[decision] += 1
-    if not _THINNER.keeps(decision, time.monotonic()):
+    if not _RATE_LIMITER.allows(decision, time.monotonic()):
         return
     logger.log(decision.level, decision.text, exc_info=trace, extra={FIELDS: fields})
 
 
-def log_left_out(logger: logging.Logger, dropped: int) -> None:
+def log_suppressed(logger: logging.Logger, dropped: int) -> None:
     """Tell which lines were thinned, and how many the writer had no room for."""
-    left_out = _THINNER.take_left_out()
-    if left_out or dropped:
-        log_decision(logger, Decision.LOGS_LEFT_OUT, thinned=left_out, dropped=dropped)
+    suppressed = _RATE_LIMITER.pop_suppressed()
+    if suppressed or dropped:
+        log_decision(
+            logger, Decision.LOGS_LEFT_OUT, thinned=suppressed, dropped=dropped
+        )
--- a/src/kestreltally/deployment.py
+++ b/src/kestreltally/deployment.py
@@ -7,7 +7,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listening:
+class SocketAddress:
     """A host and port to listen at or to call."""
 
     host: str
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Strength:
+class MachineCapacity:
     """What the machine has for this daemon: cores' worth of processor, and its link."""
 
     cores: float
@@ -59,11 +59,11 @@
     vm: str
     data_centre: str
     data_centres: tuple[str, ...]
-    clients: Listening
-    readiness: Listening
-    peers: Listening
+    clients: SocketAddress
+    readiness: SocketAddress
+    peers: SocketAddress
     metrics_port: int
-    store: Listening
-    strength: Strength
+    store: SocketAddress
+    machine_capacity: MachineCapacity
     bounds: Bounds
     first_start: bool = False
--- a/src/kestreltally/entry/api.py
+++ b/src/kestreltally/entry/api.py
@@ -10,7 +10,7 @@
 from aiohttp import web
 
 from kestreltally.decisions import Decision, log_decision
-from kestreltally.deployment import Listening
+from kestreltally.deployment import SocketAddress
 from kestreltally.entry.answers import make_refusal
 from kestreltally.entry.gate import Gate
 from kestreltally.entry.progress import (
@@ -106,7 +106,7 @@
         self._stop_began: Seconds = 0.0
         self.live = 0
 
-    async def start(self, clients: Listening, readiness: Listening) -> None:
+    async def start(self, clients: SocketAddress, readiness: SocketAddress) -> None:
         """Listen for clients and readiness checks; raises ``OSError``."""
         front = web.Server(
             self._serve,
@@ -122,7 +122,7 @@
         await self.listen(ready, readiness)
         await self.listen(front, clients)
 
-    async def listen(self, server: web.Server, at: Listening) -> None:
+    async def listen(self, server: web.Server, at: SocketAddress) -> None:
         """Serve at an address until ``close``; raises ``OSError``."""
         runner = web.ServerRunner(server, handle_signals=False, shutdown_timeout=0.1)
         await runner.setup()
--- a/src/kestreltally/entry/relay.py
+++ b/src/kestreltally/entry/relay.py
@@ -63,7 +63,7 @@
     encode_request,
     is_genuine,
     read_instance,
-    says_not_run,
+    was_not_run,
 )
 from kestreltally.poison.guard import PoisonGuard
 
@@ -351,7 +351,7 @@
             raise AttemptFailed(
                 "connection lost before the answer", may_have_run=True
             ) from error
-        if says_not_run(answer.status, answer.headers):
+        if was_not_run(answer.status, answer.headers):
             progress.runs -= 1
             await self._handle_not_run(request, endpoint, answer)
         if not is_genuine(answer.status, answer.headers):
--- a/src/kestreltally/entry/upstream.py
+++ b/src/kestreltally/entry/upstream.py
@@ -24,7 +24,7 @@
 from kestreltally.fleet.notices import NoticeTable
 from kestreltally.platform.headers import (
     is_genuine,
-    list_unread,
+    list_unrecognised,
     read_answer_id,
     read_instance,
     read_notice,
@@ -205,7 +205,7 @@
             return
         if signed and not is_genuine(answer.status, answer.headers):
             return
-        self._notices.unread.record(list_unread(answer.status, answer.headers))
+        self._notices.unread.record(list_unrecognised(answer.status, answer.headers))
         notice = read_notice(answer.status, answer.headers)
         self._notices.record(
             self._endpoint, notice, self._loop.time(), sent_at, signed=signed
--- a/src/kestreltally/fleet/limits.py
+++ b/src/kestreltally/fleet/limits.py
@@ -18,7 +18,7 @@
 from typing import Final
 
 from kestreltally.fleet.model import Notice, Seconds
-from kestreltally.rates import Bucket, Pace
+from kestreltally.rates import Bucket, RateMeter
 
 # Urgency of turns that nobody waits for yet; those of requests end at 9.
 AHEAD: Final = 10
@@ -80,7 +80,7 @@
     named_in_calls: bool = False
     turns: list[Seconds] = field(default_factory=list)
     waiting: Counter[int] = field(default_factory=Counter)
-    wants: Pace = field(default_factory=lambda: Pace(WANTS_TIME, 0.0))
+    wants: RateMeter = field(default_factory=lambda: RateMeter(WANTS_TIME, 0.0))
     alone: Bucket | None = None
 
     @property
@@ -145,7 +145,7 @@
         rate = self._find_rate_alone(lending)
         if not rate:
             return max(TURN_TRIP, self.wait) if lending.heard else ALONE_WAIT
-        level = self._find_alone(now).fill(rate, 1.0, now)
+        level = self._find_alone(now).refill(rate, 1.0, now)
         return 0.0 if level > 0 else max(TURN_TRIP, -level / rate)
 
     def take(self, lending: Lending, now: Seconds) -> bool:
@@ -154,7 +154,7 @@
             self.turns.remove(min(self.turns))
             return True
         rate = self._find_rate_alone(lending)
-        return rate > 0 and self._find_alone(now).take(1, rate, 1.0, now)
+        return rate > 0 and self._find_alone(now).acquire(1, rate, 1.0, now)
 
     def _find_rate_alone(self, lending: Lending) -> float:
         """Return what may be called without a lender, a second; 0 for nothing."""
--- a/src/kestreltally/fleet_daemon.py
+++ b/src/kestreltally/fleet_daemon.py
@@ -18,8 +18,8 @@
 
 from aiohttp import ClientSession, web
 
-from kestreltally.decisions import Decision, log_decision, log_left_out
-from kestreltally.deployment import Deployment, Listening
+from kestreltally.decisions import Decision, log_decision, log_suppressed
+from kestreltally.deployment import Deployment, SocketAddress
 from kestreltally.entry.api import EntryApi
 from kestreltally.entry.gate import Gate
 from kestreltally.entry.health import HealthTable
@@ -55,8 +55,8 @@
     VERSIONS_KIND,
 )
 from kestreltally.platform.settings import (
-    BadDeployment,
-    find_settings_path,
+    InvalidDeployment,
+    get_settings_path,
     load_deployment,
 )
 from kestreltally.platform.store import Store, lacks_writes, open_store_session
@@ -66,14 +66,14 @@
 
 LOG = logging.getLogger("kestreltally.daemon")
 
-EXIT_BAD_SETTINGS: Final = 2
+EXIT_INVALID_SETTINGS: Final = 2
 EXIT_CANNOT_LISTEN: Final = 3
-HOUSEKEEPING_EVERY: Final[Seconds] = 0.1
+MAINTENANCE_INTERVAL: Final[Seconds] = 0.1
 # Kept channels are not used past their time; they are closed this often.
-TIDY_EVERY: Final[Seconds] = 1.0
+CLEANUP_INTERVAL: Final[Seconds] = 1.0
 # Until a daemon is told how many there are, it asks the store as one of so many.
-DAEMONS_AT_FIRST: Final = 8
-RESTART_PAUSE: Final[Seconds] = 0.2
+INITIAL_DAEMON_COUNT: Final = 8
+RESTART_DELAY: Final[Seconds] = 0.2
 # Changes of endpoints within this time come in one answer of the store.
 ENDPOINTS_GAP: Final[Seconds] = 0.4
 # With the gap and a call's margin a leader that lost the store knows within 1.6 s, and
@@ -83,19 +83,19 @@
 # the store is silent, and sooner where the watch of endpoints tells that it is.
 VERSIONS_GAP: Final[Seconds] = 0.1
 CONFIGURATION_GAP: Final[Seconds] = 0.1
-OTHERS_WAIT: Final[Seconds] = 3.0
+DEFAULT_WATCH_WAIT: Final[Seconds] = 3.0
 # At the very first start of all daemons the first leader is there within some 1.5 s,
 # and tells everything; until then the others need not read the store themselves.
-FIRST_LEADER_WITHIN: Final[Seconds] = 2.5
+FIRST_LEADER_TIMEOUT: Final[Seconds] = 2.5
 # A daemon reads the configuration for itself once its word on keys has reached these
 # parts of the time for which it is believed: without a leader, and with one.
-READ_ALONE_PART: Final = 0.5
-READ_FED_PART: Final = 0.7
+READ_WITHOUT_LEADER_FRACTION: Final = 0.5
+READ_WITH_LEADER_FRACTION: Final = 0.7
 # The balancer asks each second and takes a daemon out after two misses.
-STOP_LEAST: Final[Seconds] = 3.2
+MIN_STOP_DURATION: Final[Seconds] = 3.2
 # What is left of the grace time when the last requests are cut.
 STOP_MARGIN: Final[Seconds] = 0.4
-STOP_CHECK: Final[Seconds] = 0.05
+STOP_POLL_INTERVAL: Final[Seconds] = 0.05
 
 
 class FleetDaemon:
@@ -122,7 +122,7 @@
         self._identity = IdentityCheck(self._fleet, self._authority)
         self._relay.check_caller = self._identity.recheck
         self._limiter = LIMITERS[DEFAULT](self._clock, deployment.bounds.quota)
-        self._surface = EntryApi(
+        self._entry_api = EntryApi(
             self._fleet,
             self._relay,
             Gate(self._identity, self._limiter),
@@ -131,10 +131,13 @@
         self._leases = self._make_leases()
         self._configuration = ConfigurationHandler(
             lambda configuration: self._exchange.apply_configuration(configuration),
-            lambda: lacks_writes(self._store.copied_at, self._clock()),
+            lambda: lacks_writes(self._store.restored_at, self._clock()),
         )
         self._configuration_watch = self._make_watch(
-            CONFIGURATION_KIND, self._configuration, CONFIGURATION_GAP, OTHERS_WAIT
+            CONFIGURATION_KIND,
+            self._configuration,
+            CONFIGURATION_GAP,
+            DEFAULT_WATCH_WAIT,
         )
         self._exchange = Exchange(
             deployment,
@@ -152,7 +155,7 @@
             self._store,
             self._authority,
             self._configuration.apply_read,
-            self._needs_reading,
+            self._needs_configuration_read,
             self._count_watchers,
             self._clock,
         )
@@ -178,7 +181,7 @@
             VERSIONS_KIND,
             VersionsHandler(self._exchange.rows.apply_version),
             VERSIONS_GAP,
-            OTHERS_WAIT,
+            DEFAULT_WATCH_WAIT,
         )
         self._keeper = PoisonKeeper(
             self._store,
@@ -189,25 +192,25 @@
             time.time,
         )
         self._tasks: list[asyncio.Task[None]] = []
-        self._began = self._clock()
+        self._started_at = self._clock()
 
     def _make_leases(self) -> dict[str, Lease]:
-        own = self._deployment
+        deployment = self._deployment
         boot = uuid4().hex
         return {
             name: Lease(
                 self._store,
-                own.vm,
+                deployment.vm,
                 boot,
-                own.peers,
-                own.bounds.lease,
+                deployment.peers,
+                deployment.bounds.lease,
                 self._clock,
                 name,
                 TAKE_AFTER
-                + find_weakness(own.strength)
-                + (0.0 if name == own.data_centre else FOREIGN_PATIENCE),
+                + find_weakness(deployment.machine_capacity)
+                + (0.0 if name == deployment.data_centre else FOREIGN_PATIENCE),
             )
-            for name in own.data_centres
+            for name in deployment.data_centres
         }
 
     def _make_leader(self) -> Leader:
@@ -227,7 +230,7 @@
             self._exchange.rows.put_row,
         )
         for lease in self._leases.values():
-            lease.note_begin = self._begin_leading
+            lease.record_start = self._start_leading
         leader.prefill_times = self._relay.finder.prefill_times
         leader.list_uses = self._exchange.list_uses
         leader.other_wait = self._exchange.get_min_load_wait
@@ -253,7 +256,7 @@
             "configuration_version": {
                 "store": configuration.version if configuration else 0
             },
-            "requests_live": {"entry": self._surface.live},
+            "requests_live": {"entry": self._entry_api.live},
             "requests_in_flight": {
                 str(name): float(count)
                 for name, count in self._relay.health.measure(now).in_flight.items()
@@ -284,7 +287,7 @@
             "daemons_known": {"feed": budget.daemon_count or 0},
         }
 
-    def _begin_leading(self) -> None:
+    def _start_leading(self) -> None:
         """Wake what has nothing to do without a lease."""
         self._leader.wake()
         self._exchange.feed.expedite()
@@ -295,13 +298,13 @@
         if primary is not None:
             self._exchange.expedite(primary)
 
-    async def _keep_house(self) -> None:
-        tidied_at = self._clock()
+    async def _run_maintenance(self) -> None:
+        cleaned_at = self._clock()
         while True:
-            await asyncio.sleep(HOUSEKEEPING_EVERY)
+            await asyncio.sleep(MAINTENANCE_INTERVAL)
             now = self._clock()
             self._exchange.resign_if_cut_off()
-            self._follow_store()
+            self._switch_watches()
             self._exchange.leaders.follow()
             self._reader.wake_if_needed()
             self._exchange.apply_local_report()
@@ -313,22 +316,22 @@
             self._endpoints.drop_expired()
             self._configuration.apply_pending()
             self._fleet.forget_absences(now)
-            if now >= tidied_at + TIDY_EVERY:
-                tidied_at = now
-                self._relay.poison.keep_house()
+            if now >= cleaned_at + CLEANUP_INTERVAL:
+                cleaned_at = now
+                self._relay.poison.run_maintenance()
                 self._fleet.notices.prune_old(self._fleet.endpoints, now)
                 self._exchange.rows.tombstones.prune_old(now)
                 self._pool.close_expired(now)
                 self._control_pool.close_expired(now)
-                log_left_out(LOG, self._lines.take_dropped())
+                log_suppressed(LOG, self._lines.pop_dropped())
 
-    def _follow_store(self) -> None:
+    def _switch_watches(self) -> None:
         """Watch the store here unless a leader's feed tells what is there.
 
         A daemon that leads nobody tries one kind only while the store does not answer.
         """
         leads = self._exchange.leaders.leads
-        fed = self._exchange.leaders.has_fresh_feed() or self._awaits_first_leader()
+        fed = self._exchange.leaders.has_fresh_feed() or self._is_first_leader_pending()
         needed = leads or not fed
         if needed and not self._endpoints_watch.enabled:
             self._endpoints.seed(self._fleet.endpoints.values())
@@ -337,7 +340,7 @@
         self._configuration_watch.set_enabled(others)
         self._versions_watch.set_enabled(others)
 
-    def _needs_reading(self) -> bool:
+    def _needs_configuration_read(self) -> bool:
         """Tell whether the configuration is to be read here to know its age.
 
         A daemon that leads reads for all that follow it. Another one reads for itself
@@ -350,17 +353,20 @@
             return True
         if self._endpoints_watch.failing:
             return False
-        bound = self._authority.bound or OTHERS_WAIT
+        bound = self._authority.bound or DEFAULT_WATCH_WAIT
         age = self._authority.compute_age()
         if not self._exchange.leaders.has_fresh_feed():
-            return age > READ_ALONE_PART * bound
+            return age > READ_WITHOUT_LEADER_FRACTION * bound
         # A leader's word on it comes with the second update.
-        return min(age, self._clock() - self._began) > READ_FED_PART * bound
+        return (
+            min(age, self._clock() - self._started_at)
+            > READ_WITH_LEADER_FRACTION * bound
+        )
 
-    def _awaits_first_leader(self) -> bool:
+    def _is_first_leader_pending(self) -> bool:
         """Tell whether all daemons have just been started and one will lead soon."""
-        passed = self._clock() - self._began
-        return self._deployment.first_start and passed < FIRST_LEADER_WITHIN
+        elapsed = self._clock() - self._started_at
+        return self._deployment.first_start and elapsed < FIRST_LEADER_TIMEOUT
 
     def _count_watchers(self) -> int:
         """Return how many daemons ask the store again when it does not answer."""
@@ -368,20 +374,20 @@
 
     def _count_daemons(self) -> int:
         """Return how many daemons are taken to ask the store as this one does."""
-        return self._relay.budget.daemon_count or DAEMONS_AT_FIRST
+        return self._relay.budget.daemon_count or INITIAL_DAEMON_COUNT
 
     # Start and stop.
 
     async def start(self) -> None:
         """Listen on all sides and begin; raises ``OSError``."""
-        own = self._deployment
-        self._follow_store()
-        await self._exchange.feed.start(own.peers.host, own.peers.port)
-        await self._surface.start(own.clients, own.readiness)
+        deployment = self._deployment
+        self._switch_watches()
+        await self._exchange.feed.start(deployment.peers.host, deployment.peers.port)
+        await self._entry_api.start(deployment.clients, deployment.readiness)
         operators = PoisonSurface(self._relay.poison.register, self._metrics.serve)
-        await self._surface.listen(
+        await self._entry_api.listen(
             web.Server(operators.serve, access_log=None),
-            Listening(own.peers.host, own.metrics_port),
+            SocketAddress(deployment.peers.host, deployment.metrics_port),
         )
         loops = (
             self._configuration_watch.run,
@@ -392,32 +398,37 @@
             self._exchange.feed.run,
             self._reader.run,
             self._keeper.run,
-            self._keep_house,
+            self._run_maintenance,
             *(lease.run for lease in self._leases.values()),
             *(client.run for client in self._exchange.leaders.clients.values()),
         )
-        self._tasks = [asyncio.create_task(_run_for_ever(each)) for each in loops]
-        log_decision(LOG, Decision.DAEMON_STARTED, data_centre=own.data_centre)
+        self._tasks = [asyncio.create_task(_run_forever(each)) for each in loops]
+        log_decision(LOG, Decision.DAEMON_STARTED, data_centre=deployment.data_centre)
 
     async def stop(self) -> None:
         """Stop as planned: take no new clients, and finish what runs."""
-        began = self._clock()
-        log_decision(LOG, Decision.DAEMON_PLANNED_STOP_BEGINS, live=self._surface.live)
-        last = began + self._deployment.bounds.grace - STOP_MARGIN
-        self._surface.stop_by(last)
+        started_at = self._clock()
+        log_decision(
+            LOG, Decision.DAEMON_PLANNED_STOP_BEGINS, live=self._entry_api.live
+        )
+        last = started_at + self._deployment.bounds.grace - STOP_MARGIN
+        self._entry_api.stop_by(last)
         while self._clock() < last:
-            if self._clock() - began >= STOP_LEAST and not self._surface.live:
+            if (
+                self._clock() - started_at >= MIN_STOP_DURATION
+                and not self._entry_api.live
+            ):
                 break
-            await asyncio.sleep(STOP_CHECK)
+            await asyncio.sleep(STOP_POLL_INTERVAL)
         # Not sooner: until here orders can be given, and a daemon that is started
         # again on this VM goes on without a wait.
         for lease in self._leases.values():
             await lease.release()
-        log_decision(LOG, Decision.DAEMON_PLANNED_STOP_ENDS, live=self._surface.live)
+        log_decision(LOG, Decision.DAEMON_PLANNED_STOP_ENDS, live=self._entry_api.live)
 
     async def close(self) -> None:
         """Let go of everything."""
-        await self._surface.close()
+        await self._entry_api.close()
         self._exchange.feed.close()
         for task in self._tasks:
             task.cancel()
@@ -427,14 +438,14 @@
         await self._session.close()
 
 
-async def _run_for_ever(loop: Callable[[], Coroutine[Any, Any, None]]) -> None:
+async def _run_forever(loop: Callable[[], Coroutine[Any, Any, None]]) -> None:
     """Run a loop again when it fails: a fault of one duty must not end the daemon."""
     while True:
         try:
             await loop()
         except Exception:
             log_decision(LOG, Decision.DAEMON_TASK_RESTARTED, trace=True)
-            await asyncio.sleep(RESTART_PAUSE)
+            await asyncio.sleep(RESTART_DELAY)
 
 
 async def run_daemon(deployment: Deployment, lines: LineWriter) -> int:
@@ -464,8 +475,8 @@
 def _reload() -> None:
     """Check the settings file again; addresses take effect at the next start."""
     try:
-        load_deployment(find_settings_path())
-    except BadDeployment as error:
+        load_deployment(get_settings_path())
+    except InvalidDeployment as error:
         log_decision(LOG, Decision.DAEMON_SETTINGS_NOT_TAKEN, reason=str(error))
         return
     log_decision(LOG, Decision.DAEMON_SETTINGS_READ_AGAIN)
@@ -474,10 +485,10 @@
 def main() -> None:
     """Run the daemon with the settings that the platform lays."""
     try:
-        deployment = load_deployment(find_settings_path())
-    except BadDeployment as error:
+        deployment = load_deployment(get_settings_path())
+    except InvalidDeployment as error:
         sys.stderr.write(f"{error}\n")
-        sys.exit(EXIT_BAD_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     lines = set_up_structured_logs(deployment.vm)
     status = run_with_suspensions(run_daemon(deployment, lines))
     lines.close()
--- a/src/kestreltally/fleet_metrics.py
+++ b/src/kestreltally/fleet_metrics.py
@@ -55,39 +55,45 @@
 
     def __init__(self, read_gauges: Callable[[], GaugeValues]) -> None:
         self._read_gauges = read_gauges
-        self._registry = own = Registry()
-        self._counted: dict[str, int] = {}
+        self._registry = registry = Registry()
+        self._exported_counts: dict[str, int] = {}
         self._gauges: dict[str, Gauge] = {}
         self._decisions = Counter(
             "kestreltally_decisions_total",
             "Decisions by kind, also those whose line was thinned.",
-            registry=own,
+            registry=registry,
         )
         self._requests = Counter(
             "kestreltally_requests_total",
             "Requests by service, kind, outcome and status.",
-            registry=own,
+            registry=registry,
         )
-        self._organisations = Counter(
+        self._organisation_requests = Counter(
             "kestreltally_organisation_requests_total",
             "Requests by organisation, outcome and status.",
-            registry=own,
+            registry=registry,
         )
-        self._took = self._make_histogram("request", "its first byte to its end")
-        self._first = self._make_histogram("first_byte", "it to an answer's first byte")
-        self._waited = self._make_histogram("weights_wait", "waiting for weights")
-        self._errors = Histogram(
+        self._request_seconds = self._make_histogram(
+            "request", "its first byte to its end"
+        )
+        self._first_byte_seconds = self._make_histogram(
+            "first_byte", "it to an answer's first byte"
+        )
+        self._weights_wait_seconds = self._make_histogram(
+            "weights_wait", "waiting for weights"
+        )
+        self._prediction_errors = Histogram(
             "kestreltally_first_event_error_seconds",
             "Seconds by which the time to the first event was predicted amiss, by kind "
             "and by whether it was predicted too long or too short.",
             buckets=LATENCY_BUCKETS,
-            registry=own,
+            registry=registry,
         )
 
-    def _make_histogram(self, name: str, text: str) -> Histogram:
+    def _make_histogram(self, name: str, description: str) -> Histogram:
         return Histogram(
             f"kestreltally_{name}_seconds",
-            f"Seconds of a request from {text}.",
+            f"Seconds of a request from {description}.",
             buckets=LATENCY_BUCKETS,
             registry=self._registry,
         )
@@ -103,7 +109,7 @@
             }
         )
         if end.organisation:
-            self._organisations.inc(
+            self._organisation_requests.inc(
                 {
                     "organisation": end.organisation,
                     "outcome": end.outcome,
@@ -111,21 +117,23 @@
                 }
             )
         labels = {"kind": end.kind}
-        self._took.observe(labels, end.took)
+        self._request_seconds.observe(labels, end.took)
         if end.first is not None:
-            self._first.observe(labels, end.first)
+            self._first_byte_seconds.observe(labels, end.first)
         for error in end.errors:
-            amiss = "too_long" if error > 0 else "too_short"
-            self._errors.observe({**labels, "amiss": amiss}, abs(error))
+            direction = "too_long" if error > 0 else "too_short"
+            self._prediction_errors.observe({**labels, "amiss": direction}, abs(error))
         if end.waited:
-            self._waited.observe(labels, end.waited)
+            self._weights_wait_seconds.observe(labels, end.waited)
 
     def render(self) -> tuple[bytes, dict[str, str]]:
         """Return the exposition of all figures and its HTTP headers."""
         for decision, count in COUNTS.items():
             name = decision.name.lower()
-            self._decisions.add({"decision": name}, count - self._counted.get(name, 0))
-            self._counted[name] = count
+            self._decisions.add(
+                {"decision": name}, count - self._exported_counts.get(name, 0)
+            )
+            self._exported_counts[name] = count
         for name, values in self._read_gauges().items():
             gauge = self._gauges.get(name)
             if gauge is None:
--- a/src/kestreltally/knowledge/authority.py
+++ b/src/kestreltally/knowledge/authority.py
@@ -146,7 +146,7 @@
         stored = await self._store.read(CONFIGURATION_KIND, CONFIGURATION_NAME)
         if stored is None or not self._apply_stored(stored):
             return
-        if lacks_writes(self._store.copied_at, started_at):
+        if lacks_writes(self._store.restored_at, started_at):
             # A store restored from a backup may lack the write that revoked a key in
             # the seconds that it lost.
             return
--- a/src/kestreltally/knowledge/feed_client.py
+++ b/src/kestreltally/knowledge/feed_client.py
@@ -6,7 +6,7 @@
 from typing import Any, Final
 
 from kestreltally.decisions import Decision, log_decision
-from kestreltally.deployment import Listening
+from kestreltally.deployment import SocketAddress
 from kestreltally.events import wait_at_most
 from kestreltally.fleet.model import Seconds
 from kestreltally.knowledge.frames import FrameStream, MalformedFrame
@@ -30,7 +30,7 @@
     def __init__(
         self,
         data_centre: str,
-        find_leader: Callable[[str], Listening | None],
+        find_leader: Callable[[str], SocketAddress | None],
         make_report: Callable[[str], Any],
         apply_update: Callable[[str, Any], None],
         clock: Callable[[], Seconds],
@@ -80,7 +80,7 @@
             await self._follow(address)
             await asyncio.sleep(RETRY_INTERVAL)
 
-    async def _follow(self, address: Listening) -> None:
+    async def _follow(self, address: SocketAddress) -> None:
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT):
                 reader, writer = await asyncio.open_connection(
@@ -114,7 +114,9 @@
             self.load_wait = float("inf")
             self.free_capacity = 0
 
-    async def _receive_updates(self, stream: FrameStream, address: Listening) -> None:
+    async def _receive_updates(
+        self, stream: FrameStream, address: SocketAddress
+    ) -> None:
         while self._find_leader(self.data_centre) == address:
             async with asyncio.timeout(FEED_SILENCE_TIMEOUT):
                 update = await stream.receive(Update)
--- a/src/kestreltally/knowledge/leaders.py
+++ b/src/kestreltally/knowledge/leaders.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Final
 
-from kestreltally.deployment import Deployment, Listening
+from kestreltally.deployment import Deployment, SocketAddress
 from kestreltally.fleet.model import Seconds
 from kestreltally.knowledge.feed_client import FeedClient
 from kestreltally.knowledge.updates import KnownLeader
@@ -80,7 +80,7 @@
             return reported
         if record.released:
             return None
-        address = Listening(record.host, record.port)
+        address = SocketAddress(record.host, record.port)
         return KnownLeader(record.holder, address, record.fence)
 
     def list_reachable(self) -> dict[str, KnownLeader]:
@@ -92,7 +92,7 @@
         }
         return {name: each for name, each in known.items() if each is not None}
 
-    def find_address(self, data_centre: str) -> Listening | None:
+    def find_address(self, data_centre: str) -> SocketAddress | None:
         """Return the address of the leader if this daemon should follow it."""
         known = self.find_known_leader(data_centre)
         if known is None or known.vm == self._deployment.vm:
--- a/src/kestreltally/knowledge/updates.py
+++ b/src/kestreltally/knowledge/updates.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 from typing import Any, Final
 
-from kestreltally.deployment import Listening
+from kestreltally.deployment import SocketAddress
 from kestreltally.fleet.model import Endpoint, EndpointId, Seconds, WeightsKey
 from kestreltally.knowledge.rows import (
     differs_in_weights_only,
@@ -17,7 +17,7 @@
     encode_weights,
 )
 from kestreltally.knowledge.structs import LeaderRow, LeaseRow, Update
-from kestreltally.platform.store import NO_ERA, Revision
+from kestreltally.platform.store import UNKNOWN_ERA, Revision
 
 # Age that stands for "never" in messages of the feed, seconds.
 AGE_UNKNOWN: Final[Seconds] = 1e6
@@ -40,7 +40,7 @@
     """The leader of a data centre's engines, with its address and fence."""
 
     vm: str
-    address: Listening
+    address: SocketAddress
     fence: int
 
 
@@ -231,7 +231,7 @@
 
 def decode_leader(row: Any) -> tuple[str, KnownLeader]:
     """Return the data centre and the leader of a struct."""
-    address = Listening(row.host, row.port)
+    address = SocketAddress(row.host, row.port)
     return row.data_centre, KnownLeader(row.vm, address, row.fence)
 
 
@@ -246,4 +246,4 @@
 
 def decode_revision(row: Any) -> Revision:
     """Return the revision of a lease's struct."""
-    return Revision(NO_ERA if row.era is None else row.era, row.revision)
+    return Revision(UNKNOWN_ERA if row.era is None else row.era, row.revision)
--- a/src/kestreltally/knowledge/watch_handlers.py
+++ b/src/kestreltally/knowledge/watch_handlers.py
@@ -21,7 +21,7 @@
     decode_version,
 )
 from kestreltally.platform.store import (
-    REWRITTEN_WITHIN,
+    REWRITE_WINDOW,
     Changes,
     Listing,
     Revision,
@@ -33,7 +33,7 @@
 # Entries that expired while the store was unavailable, or that its backup lacks, are
 # written again soon if their endpoint is alive. One that is still missing after this
 # period is treated as removed.
-EXPIRY_GRACE_PERIOD: Final[Seconds] = REWRITTEN_WITHIN
+EXPIRY_GRACE_PERIOD: Final[Seconds] = REWRITE_WINDOW
 
 
 class ConfigurationHandler:
@@ -76,7 +76,7 @@
     def apply_changes(self, changes: Changes) -> None:
         """Apply a changed configuration; a deletion is ignored."""
         for change in changes.changes:
-            if not change.gone and change.object.name == CONFIGURATION_NAME:
+            if not change.deleted and change.object.name == CONFIGURATION_NAME:
                 self.apply_document(change.object.content)
 
     def apply_read(self, stored: StoredObject) -> bool:
@@ -144,7 +144,7 @@
     def apply_changes(self, changes: Changes) -> None:
         """Apply changes of some entries."""
         for change in changes.changes:
-            if change.gone:
+            if change.deleted:
                 self._record_missing(EndpointId(change.object.name))
             else:
                 self._apply_entry(change.object)
@@ -200,7 +200,7 @@
     def apply_changes(self, changes: Changes) -> None:
         """Apply changes of some versions; deletions are ignored."""
         for change in changes.changes:
-            if not change.gone:
+            if not change.deleted:
                 self._apply_object(change.object)
 
     def _apply_object(self, stored: StoredObject) -> None:
--- a/src/kestreltally/knowledge/watching.py
+++ b/src/kestreltally/knowledge/watching.py
@@ -10,10 +10,10 @@
 from kestreltally.knowledge.retry_delays import draw_retry_delay
 from kestreltally.platform.store import (
     Changes,
-    EraPassed,
     HistoryGone,
     Listing,
     Revision,
+    StaleEra,
     Store,
     StoreError,
 )
@@ -86,7 +86,7 @@
 
         Objects missing at that time may be written again soon.
         """
-        return max(self._regained_at, self._store.copied_at)
+        return max(self._regained_at, self._store.restored_at)
 
     @property
     def failing(self) -> bool:
@@ -105,7 +105,7 @@
             await self._enabled.wait()
             try:
                 await self._step()
-            except EraPassed:
+            except StaleEra:
                 self._revision = None
             except HistoryGone:
                 # The store was available all the time, so no entry has expired by a
--- a/src/kestreltally/logs.py
+++ b/src/kestreltally/logs.py
@@ -18,24 +18,24 @@
 
 TEXT_FORMAT: Final = "%(asctime)s %(levelname)s %(message)s"
 # Lines that wait for the writer: some seconds' worth at the highest rate.
-LINES_WAITING: Final = 4_000
+MAX_QUEUED_LINES: Final = 4_000
 # Lines within this time are written together, seconds.
-GATHER_LINES: Final = 0.05
+BATCH_DELAY_SECONDS: Final = 0.05
 # How long the last lines are waited for at the end, seconds.
-LAST_LINES: Final = 0.3
+FLUSH_TIMEOUT_SECONDS: Final = 0.3
 JSON_FORMAT: Final = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
-def set_up_logs(wanted: "Logging", vm: str) -> None:
+def set_up_logs(settings: "Logging", vm: str) -> None:
     """Send all logs to standard error in the wanted form."""
     handler = logging.StreamHandler(sys.stderr)
-    if wanted.format == "json":
+    if settings.format == "json":
         handler.setFormatter(JsonFormatter(JSON_FORMAT, static_fields={"vm": vm}))
     else:
         handler.setFormatter(logging.Formatter(TEXT_FORMAT))
     root = logging.getLogger()
     root.handlers[:] = [handler]
-    root.setLevel(wanted.level)
+    root.setLevel(settings.level)
     logging.getLogger("aiohttp.access").setLevel(logging.WARNING)
     logging.getLogger("transitions").setLevel(logging.WARNING)
 
@@ -50,7 +50,7 @@
         super().__init__()
         self._stream = stream
         self._vm = vm
-        self._waiting: deque[logging.LogRecord] = deque()
+        self._queue: deque[logging.LogRecord] = deque()
         self._wake = threading.Event()
         self._dropped = 0
         self._thread = threading.Thread(target=self._run, daemon=True)
@@ -58,13 +58,13 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue a line, or count it as dropped."""
-        if len(self._waiting) >= LINES_WAITING:
+        if len(self._queue) >= MAX_QUEUED_LINES:
             self._dropped += 1
             return
-        self._waiting.append(record)
+        self._queue.append(record)
         self._wake.set()
 
-    def take_dropped(self) -> int:
+    def pop_dropped(self) -> int:
         """Return how many lines found no room since the last call."""
         dropped, self._dropped = self._dropped, 0
         return dropped
@@ -72,14 +72,14 @@
     def _run(self) -> None:
         while True:
             self._wake.wait()
-            time.sleep(GATHER_LINES)
+            time.sleep(BATCH_DELAY_SECONDS)
             self._wake.clear()
-            self._write_waiting()
+            self._write_queued()
 
-    def _write_waiting(self) -> None:
+    def _write_queued(self) -> None:
         lines = []
-        while self._waiting:
-            lines.append(self._format_line(self._waiting.popleft()))
+        while self._queue:
+            lines.append(self._format_line(self._queue.popleft()))
         if not lines:
             return
         try:
@@ -103,9 +103,9 @@
 
     def close(self) -> None:
         """Wait a moment for what is queued to be written."""
-        until = time.monotonic() + LAST_LINES
-        while self._waiting and time.monotonic() < until:
-            time.sleep(GATHER_LINES / 2)
+        deadline = time.monotonic() + FLUSH_TIMEOUT_SECONDS
+        while self._queue and time.monotonic() < deadline:
+            time.sleep(BATCH_DELAY_SECONDS / 2)
         super().close()
 
 
--- a/src/kestreltally/objectapi/watches.py
+++ b/src/kestreltally/objectapi/watches.py
@@ -20,9 +20,9 @@
     ClaimEnded,
     ClaimEndpoint,
     ConfigArrived,
-    Happening,
+    LeaderRead,
     LeadersChanged,
-    LeaderWasRead,
+    OutsideEvent,
     ReadLeader,
     VmsListed,
 )
@@ -53,7 +53,7 @@
         world: World,
         objects: ObjectApi,
         vms: VmList,
-        post: Callable[[Happening], None],
+        post: Callable[[OutsideEvent], None],
         clock: Callable[[], Seconds],
     ) -> None:
         self._world = world
@@ -72,7 +72,7 @@
         except PlatformError:
             failed = True
         self._post(
-            LeaderWasRead(
+            LeaderRead(
                 endpoint=order.endpoint,
                 record=record,
                 asked_at=asked_at,
--- a/src/kestreltally/operators/writing.py
+++ b/src/kestreltally/operators/writing.py
@@ -185,7 +185,7 @@
     ) -> None:
         self._objects = objects
         self._operator = operator
-        self._wall = wall
+        self._wall_clock = wall
 
     async def make(
         self,
@@ -235,7 +235,7 @@
             revision=0,
             value=made.after,
             by=self._operator,
-            at=self._wall(),
+            at=self._wall_clock(),
             change=uuid4().hex,
         )
         try:
@@ -268,7 +268,7 @@
             return self._refuse(
                 ChangeFailure.CONFLICT, f"{key} is gone; nothing changed"
             )
-        ago = max(0.0, self._wall() - theirs.at)
+        ago = max(0.0, self._wall_clock() - theirs.at)
         shown = "dropped it" if theirs.value is None else f"made it {theirs.value}"
         return self._refuse(
             ChangeFailure.CONFLICT,
--- a/src/kestreltally/orders.py
+++ b/src/kestreltally/orders.py
@@ -114,7 +114,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaderWasRead:
+class LeaderRead:
     """The leader record as it was after ``asked_at``; ``failed``: it wasn't read."""
 
     endpoint: EndpointId
@@ -250,13 +250,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StopAsked:
+class StopRequested:
     """A planned stop was asked for."""
 
 
-Happening = (
+OutsideEvent = (
     MessageArrived
-    | LeaderWasRead
+    | LeaderRead
     | ClaimEnded
     | LeadersChanged
     | FenceRaised
@@ -270,7 +270,7 @@
     | PermitUsed
     | EndpointFailed
     | EndpointServed
-    | StopAsked
+    | StopRequested
 )
 
 
--- a/src/kestreltally/placing/lease.py
+++ b/src/kestreltally/placing/lease.py
@@ -25,15 +25,15 @@
 from typing import Final
 
 from kestreltally.decisions import Decision, log_decision
-from kestreltally.deployment import Listening, Strength
+from kestreltally.deployment import MachineCapacity, SocketAddress
 from kestreltally.fleet.model import Seconds
 from kestreltally.placing.leaserecords import Absence, LeaseRecord, Sighting
 from kestreltally.platform.documents import LEASE_KIND
 from kestreltally.platform.store import (
     FIRST_ERA,
     Conflict,
-    EraPassed,
     Revision,
+    StaleEra,
     Store,
     StoredObject,
     StoreError,
@@ -79,7 +79,7 @@
 ERA_FENCES: Final = 2**20
 
 
-def find_weakness(strength: Strength) -> Seconds:
+def find_weakness(strength: MachineCapacity) -> Seconds:
     """Return how long a machine leaves a free lease to stronger ones."""
     weak = strength.cores < LEADER_CORES or strength.link_mbps < LEADER_MBPS
     return WEAK_PATIENCE if weak else 0.0
@@ -93,7 +93,7 @@
         store: Store,
         vm: str,
         boot: str,
-        address: Listening,
+        address: SocketAddress,
         apart: Seconds,
         clock: Callable[[], Seconds],
         data_centre: str,
@@ -122,7 +122,7 @@
         self.leads = False
         self._began = asyncio.Event()
         # Called when this daemon begins to hold it.
-        self.note_begin: Callable[[], None] = lambda: None
+        self.record_start: Callable[[], None] = lambda: None
 
     @property
     def fence(self) -> int:
@@ -199,7 +199,7 @@
         wanted = replace(record, renewals=record.renewals + 1, quiet=self._find_quiet())
         try:
             stored = await self._write(sighting.revision, wanted)
-        except EraPassed:
+        except StaleEra:
             await self._go_on()
             return
         except Conflict as conflict:
@@ -371,7 +371,7 @@
     async def _create(self, absence: Absence) -> None:
         began = self._clock()
         start = began
-        if absence.era > FIRST_ERA or self._store.copied_at > NEVER:
+        if absence.era > FIRST_ERA or self._store.restored_at > NEVER:
             # There was a holder, maybe: its record is lost.
             start = self._keep_apart(absence.since + VALIDITY)
         quiet = max(0.0, start - began)
@@ -422,7 +422,7 @@
         self._orders_from = start
         self._resigned.clear()
         self._began.set()
-        self.note_begin()
+        self.record_start()
         log_decision(
             LOG,
             Decision.LEASE_HELD,
--- a/src/kestreltally/placing/leaserecords.py
+++ b/src/kestreltally/placing/leaserecords.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from kestreltally.fleet.model import Seconds
-from kestreltally.platform.store import NO_ERA, Revision
+from kestreltally.platform.store import UNKNOWN_ERA, Revision
 
 
 @dataclass(frozen=True, slots=True)
@@ -24,7 +24,7 @@
     renewals: int
     quiet: Seconds
     released: bool = False
-    era: int = NO_ERA
+    era: int = UNKNOWN_ERA
 
     @classmethod
     def decode(cls, content: Any) -> "LeaseRecord":
--- a/src/kestreltally/placing/loads.py
+++ b/src/kestreltally/placing/loads.py
@@ -140,7 +140,7 @@
         self.publish(book)
         if outcome is OrderOutcome.DONE:
             self._end_load(book, key)
-        elif outcome is OrderOutcome.UNDER_WAY:
+        elif outcome is OrderOutcome.IN_FLIGHT:
             self._spawn(self._await_load(book, key, age))
 
     def _end_load(self, book: EngineBook, key: WeightsKey) -> None:
--- a/src/kestreltally/placing/orders.py
+++ b/src/kestreltally/placing/orders.py
@@ -124,7 +124,7 @@
         outcome = decode_outcome(status)
         now = self._clock()
         book.ordered_at = now
-        if outcome in (OrderOutcome.UNDER_WAY, OrderOutcome.DONE):
+        if outcome in (OrderOutcome.IN_FLIGHT, OrderOutcome.DONE):
             self._book(book, order, outcome, now)
         else:
             # The book is wrong somewhere: the next order waits for a report.
@@ -172,7 +172,7 @@
             book.sequence = order.sequence + 1
             if outcome is OrderOutcome.DONE:
                 book.note_unloaded(key)
-        elif outcome is OrderOutcome.UNDER_WAY and key not in book.incoming:
+        elif outcome is OrderOutcome.IN_FLIGHT and key not in book.incoming:
             book.sequence = order.sequence + 1
             book.incoming[key] = Incoming(book.sequence, now)
 
--- a/src/kestreltally/placing/turns.py
+++ b/src/kestreltally/placing/turns.py
@@ -163,7 +163,7 @@
         """Lend what may be lent now; return when to look again, none if not."""
         now = self._clock()
         pool = self._find_pool(endpoint, born, now)
-        level = pool.bucket.fill(terms.rate, terms.depth, now)
+        level = pool.bucket.refill(terms.rate, terms.depth, now)
         if level <= terms.least:
             # Who is next is looked for once there is something to lend.
             if now - pool.estimated_at >= ESTIMATE_EVERY:
--- a/src/kestreltally/platform/documents.py
+++ b/src/kestreltally/platform/documents.py
@@ -46,18 +46,18 @@
 
 # Clients give a stream up after the longest of this silence, so many objectives, and so
 # many of the longest pauses that their sheet allows between events.
-PATIENCE_LEAST: Final[Seconds] = 2.0
-PATIENCE_OBJECTIVES: Final = 4.0
-PATIENCE_PAUSES: Final = 8.0
+MIN_SILENCE_LIMIT: Final[Seconds] = 2.0
+SILENCE_LIMIT_OBJECTIVES: Final = 4.0
+SILENCE_LIMIT_PAUSES: Final = 8.0
 
 
 # What reading a document of another form raises.
-ODD_FORM: Final = (AttributeError, KeyError, OverflowError, TypeError, ValueError)
+FORMAT_ERRORS: Final = (AttributeError, KeyError, OverflowError, TypeError, ValueError)
 # The longest text and the largest count that a document may hold.
-TEXT_MOST: Final = 512
-COUNT_MOST: Final = 2**31 - 1
-PORT_MOST: Final = 2**16 - 1
-BORN_MOST: Final = 2**62
+MAX_TEXT_LENGTH: Final = 512
+MAX_COUNT: Final = 2**31 - 1
+MAX_PORT: Final = 2**16 - 1
+MAX_BORN: Final = 2**62
 
 
 class MalformedDocument(ValueError):
@@ -77,15 +77,18 @@
                 _decode_organisation(each) for each in document.get("Tenants") or ()
             ),
         )
-    except ODD_FORM as error:
+    except FORMAT_ERRORS as error:
         raise MalformedDocument(f"configuration: {error!r}") from error
 
 
 def _decode_route(route: Document) -> Route:
-    split = route.get("Split")
+    weighted_services = route.get("Split")
     shares = (
-        tuple(Share(ServiceName(p["Service"]), float(p["Weight"])) for p in split)
-        if split
+        tuple(
+            Share(ServiceName(item["Service"]), float(item["Weight"]))
+            for item in weighted_services
+        )
+        if weighted_services
         else (Share(ServiceName(route["Service"]), 1.0),)
     )
     objective = route["ObjectiveMs"] / MILLISECONDS
@@ -104,7 +107,9 @@
         resumable=bool(route.get("Resumable", False)),
         patience=(
             max(
-                PATIENCE_LEAST, PATIENCE_OBJECTIVES * objective, PATIENCE_PAUSES * pause
+                MIN_SILENCE_LIMIT,
+                SILENCE_LIMIT_OBJECTIVES * objective,
+                SILENCE_LIMIT_PAUSES * pause,
             )
             if kind is RequestKind.STREAM
             else 0.0
@@ -193,7 +198,7 @@
             service=ServiceName(_read_text(entry["Service"])),
             # No names are looked up: an address is a number.
             host=str(IPv4Address(address.host)),
-            port=_read_count(address.port, most=PORT_MOST),
+            port=_read_count(address.port, maximum=MAX_PORT),
             data_centre=_read_text(entry["Zone"]),
             slots=_read_count(entry["Slots"]),
             leaving=_STATES[_read_text(entry["State"])],
@@ -201,7 +206,7 @@
             weights=decode_weights(entry.get("Models") or ()),
             born=read_born(entry),
         )
-    except ODD_FORM as error:
+    except FORMAT_ERRORS as error:
         raise MalformedDocument(f"endpoint {name}: {error!r}") from error
 
 
@@ -211,38 +216,38 @@
     Raises ``TypeError`` or ``ValueError`` for anything but a whole number.
     """
     born = document.get("born", 0)
-    return _read_count(born, least=0, most=BORN_MOST)
+    return _read_count(born, minimum=0, maximum=MAX_BORN)
 
 
 def decode_weights(models: Any) -> dict[WeightsKey, int]:
     """Return the versions of the models and adapters that an engine lists."""
-    held: dict[WeightsKey, int] = {}
+    versions: dict[WeightsKey, int] = {}
     for model in models:
         name = _read_text(model["Name"])
-        held[WeightsKey(name)] = _read_count(model.get("Version", 1), least=0)
+        versions[WeightsKey(name)] = _read_count(model.get("Version", 1), minimum=0)
         for listed in model.get("Adapters") or ():
             adapter, _, version = _read_text(listed).rpartition("@")
             key = WeightsKey(name, _read_text(adapter))
-            held[key] = _read_count(int(version), least=0)
-    return held
+            versions[key] = _read_count(int(version), minimum=0)
+    return versions
 
 
 def _read_text(value: Any) -> str:
     """Return a text that can be told on; raises ``TypeError`` or ``ValueError``."""
     if not isinstance(value, str):
         raise TypeError(f"{value!r} is not a text")
-    if not 0 < len(value) <= TEXT_MOST:
+    if not 0 < len(value) <= MAX_TEXT_LENGTH:
         raise ValueError(f"a text of {len(value)} signs")
     value.encode()
     return value
 
 
-def _read_count(value: Any, *, least: int = 1, most: int = COUNT_MOST) -> int:
+def _read_count(value: Any, *, minimum: int = 1, maximum: int = MAX_COUNT) -> int:
     """Return a whole number within bounds; raises ``TypeError``, ``ValueError``."""
     if not isinstance(value, int) or isinstance(value, bool):
         raise TypeError(f"{value!r} is not a whole number")
-    if not least <= value <= most:
-        raise ValueError(f"{value} is not in {least} to {most}")
+    if not minimum <= value <= maximum:
+        raise ValueError(f"{value} is not in {minimum} to {maximum}")
     return value
 
 
@@ -253,6 +258,6 @@
         key = WeightsKey(
             _read_text(document["Model"]), _read_text(adapter) if adapter else ""
         )
-        return key, _read_count(document["Version"], least=0)
-    except ODD_FORM as error:
+        return key, _read_count(document["Version"], minimum=0)
+    except FORMAT_ERRORS as error:
         raise MalformedDocument(f"version: {error!r}") from error
--- a/src/kestreltally/platform/engines.py
+++ b/src/kestreltally/platform/engines.py
@@ -7,7 +7,7 @@
 
 from kestreltally.fleet.model import WeightsKey
 from kestreltally.platform.documents import (
-    ODD_FORM,
+    FORMAT_ERRORS,
     MalformedDocument,
     decode_weights,
     read_born,
@@ -27,7 +27,7 @@
 class OrderOutcome(Enum):
     """What an engine answered to an order."""
 
-    UNDER_WAY = "under way"
+    IN_FLIGHT = "under way"
     DONE = "done"
     CONFLICT = "conflict"
     STALE_FENCE = "stale fence"
@@ -37,7 +37,7 @@
 
 
 _OUTCOMES: Final = {
-    202: OrderOutcome.UNDER_WAY,
+    202: OrderOutcome.IN_FLIGHT,
     200: OrderOutcome.DONE,
     409: OrderOutcome.CONFLICT,
     412: OrderOutcome.STALE_FENCE,
@@ -102,15 +102,17 @@
     """Read an engine's report; raises ``MalformedDocument``."""
     try:
         return _decode_report(json.loads(content))
-    except ODD_FORM as error:
+    except FORMAT_ERRORS as error:
         raise MalformedDocument(f"report: {error!r}") from error
 
 
 def _decode_report(report: Any) -> EngineReport:
     return EngineReport(
         weights=decode_weights(report["Models"]),
-        loading=frozenset(_read_listed(each) for each in report.get("Incoming") or ()),
-        warm=_read_available(report.get("Available")),
+        loading=frozenset(
+            _parse_weights_key(each) for each in report.get("Incoming") or ()
+        ),
+        warm=_parse_available(report.get("Available")),
         busy=bool(report["BusySlots"]),
         sequence=int(report["Sequence"]),
         running=int(report["RunningCount"]),
@@ -119,14 +121,16 @@
     )
 
 
-def _read_listed(text: str) -> WeightsKey:
+def _parse_weights_key(text: str) -> WeightsKey:
     name = text.rpartition("@")[0] or text
     model, _, adapter = name.partition("/")
     return WeightsKey(model, adapter)
 
 
-def _read_available(available: Any) -> frozenset[WeightsKey]:
+def _parse_available(available: Any) -> frozenset[WeightsKey]:
     if not isinstance(available, dict):
         return frozenset()
     listed = [*(available.get("InMemory") or ()), *(available.get("OnDisk") or ())]
-    return frozenset(_read_listed(each) for each in listed if isinstance(each, str))
+    return frozenset(
+        _parse_weights_key(each) for each in listed if isinstance(each, str)
+    )
--- a/src/kestreltally/platform/headers.py
+++ b/src/kestreltally/platform/headers.py
@@ -34,18 +34,18 @@
 _KEY: Final = "X-Credential"
 _ORGANISATION: Final = "X-Tenant-Name"
 _LEAVING: Final = "Server-Leaving"
-_LEAVES: Final = "1"
+_LEAVING_VALUE: Final = "1"
 _LIMIT: Final = "Server-Limit"
 # Headers of answers in which endpoints speak of themselves, and those read here.
-_SPEAKING: Final = "server-"
-_SPEAKING_FIRST: Final = "sS"
-_READ: Final = frozenset({_LEAVING.lower(), _LIMIT.lower()})
+_SERVER_PREFIX: Final = "server-"
+_SERVER_PREFIX_INITIALS: Final = "sS"
+_KNOWN_SERVER_HEADERS: Final = frozenset({_LEAVING.lower(), _LIMIT.lower()})
 # A time in seconds or a number a second, fractions included. Nothing else is one:
 # neither a date, which the platform does not use and clocks that jump would spoil, nor
 # a sign or an exponent.
 _DECIMAL: Final = re.compile(r"[0-9]{1,12}(?:\.[0-9]{0,12})?")
 # No endpoint lives to see the end of a longer rest; it bounds what a misprint does.
-REST_MOST: Final[Seconds] = 3600.0
+MAX_BACKOFF: Final[Seconds] = 3600.0
 
 # A client's own values for these are dropped: only the system may set them, and a key
 # is for nobody else.
@@ -164,7 +164,7 @@
         yield _ORGANISATION, organisation
 
 
-def says_not_run(status: int, headers: Mapping[str, str]) -> bool:
+def was_not_run(status: int, headers: Mapping[str, str]) -> bool:
     """Tell whether an endpoint's answer promises that the request did not run."""
     return status == MISDIRECTED or _NOT_RUN in headers
 
@@ -175,37 +175,41 @@
     Of several times of rest the longest holds, of several limits the lowest; what is no
     number says nothing.
     """
-    leaves = headers.get(_LEAVING, "").strip() == _LEAVES
-    named = headers.getall(_LIMIT, [])
-    if not leaves and not named and status != UNAVAILABLE:
+    leaving = headers.get(_LEAVING, "").strip() == _LEAVING_VALUE
+    limit_values = headers.getall(_LIMIT, [])
+    if not leaving and not limit_values and status != UNAVAILABLE:
         return SILENT
-    rest = 0.0
+    backoff = 0.0
     if status == UNAVAILABLE:
         times = _read_decimals(headers.getall(RETRY_AFTER, []))
-        rest = min(REST_MOST, max(times, default=0.0))
-    limit = min(_read_decimals(named), default=None)
+        backoff = min(MAX_BACKOFF, max(times, default=0.0))
+    limit = min(_read_decimals(limit_values), default=None)
     return Notice(
-        leaves,
-        rest,
+        leaving,
+        backoff,
         limit,
-        unclear=bool(named) and limit is None,
-        turns_away=status == UNAVAILABLE and _NOT_RUN in headers and not rest,
+        unclear=bool(limit_values) and limit is None,
+        turns_away=status == UNAVAILABLE and _NOT_RUN in headers and not backoff,
     )
 
 
-def list_unread(status: int, headers: Mapping[str, str]) -> list[str]:
+def list_unrecognised(status: int, headers: Mapping[str, str]) -> list[str]:
     """Name what an endpoint says in an answer that nothing here reads.
 
     That is a header in which endpoints speak of themselves, or a status without a
     meaning.
     """
-    speaking = [name.lower() for name in headers if name[:1] in _SPEAKING_FIRST]
-    unread = [
-        each for each in speaking if each.startswith(_SPEAKING) and each not in _READ
+    server_headers = [
+        name.lower() for name in headers if name[:1] in _SERVER_PREFIX_INITIALS
+    ]
+    unrecognised = [
+        each
+        for each in server_headers
+        if each.startswith(_SERVER_PREFIX) and each not in _KNOWN_SERVER_HEADERS
     ]
     if not (200 <= status < 300 or 400 <= status < 600):
-        unread.append(f"status {status}")
-    return unread
+        unrecognised.append(f"status {status}")
+    return unrecognised
 
 
 def _read_decimals(values: Iterable[str]) -> list[float]:
@@ -229,9 +233,9 @@
     return headers.get(_INSTANCE, "")
 
 
-def encode_retry_after(after: Seconds) -> str:
+def encode_retry_after(delay: Seconds) -> str:
     """Return the text of a time to come back; fractions of seconds are allowed."""
-    return f"{max(0.0, after):.2f}"
+    return f"{max(0.0, delay):.2f}"
 
 
 def is_genuine(status: int, headers: Mapping[str, str]) -> bool:
--- a/src/kestreltally/platform/settings.py
+++ b/src/kestreltally/platform/settings.py
@@ -8,8 +8,8 @@
 from kestreltally.deployment import (
     Bounds,
     Deployment,
-    Listening,
-    Strength,
+    MachineCapacity,
+    SocketAddress,
 )
 from kestreltally.quotas.grants import QuotaBounds
 
@@ -20,27 +20,27 @@
 MILLISECONDS: Final = 1000.0
 
 
-class BadDeployment(ValueError):
+class InvalidDeployment(ValueError):
     """The settings file cannot be used; the message names file, key and reason."""
 
 
-def find_settings_path() -> Path:
+def get_settings_path() -> Path:
     """Return where the platform says that the settings file lies."""
     return Path(os.environ.get(PATH_VARIABLE, DEFAULT_PATH))
 
 
 def load_deployment(path: Path) -> Deployment:
-    """Read the settings file; raises ``BadDeployment``."""
+    """Read the settings file; raises ``InvalidDeployment``."""
     try:
         content = json.loads(path.read_bytes())
     except (OSError, ValueError) as error:
-        raise BadDeployment(f"{path}: cannot be read: {error}") from error
+        raise InvalidDeployment(f"{path}: cannot be read: {error}") from error
     try:
         return _decode(content)
     except KeyError as error:
-        raise BadDeployment(f"{path}: {error.args[0]} is missing") from error
+        raise InvalidDeployment(f"{path}: {error.args[0]} is missing") from error
     except (TypeError, ValueError, IndexError) as error:
-        raise BadDeployment(f"{path}: {error}") from error
+        raise InvalidDeployment(f"{path}: {error}") from error
 
 
 def _decode(content: dict[str, Any]) -> Deployment:
@@ -53,19 +53,19 @@
         data_centres=tuple(sorted({*content["Zones"], content["Zone"]})),
         clients=read_address(listen["Front"]),
         readiness=read_address(listen["Ready"]),
-        peers=Listening(content["IpAddress"], first_internal),
+        peers=SocketAddress(content["IpAddress"], first_internal),
         metrics_port=int(metrics_port),
         store=read_address(content["Platform"]["Address"]),
-        strength=_decode_strength(content["Limits"]),
+        machine_capacity=_decode_machine_capacity(content["Limits"]),
         bounds=_decode_bounds(content["Bounds"]),
         first_start=bool(content.get("FirstStart")),
     )
 
 
-def _decode_strength(limits: dict[str, Any]) -> Strength:
+def _decode_machine_capacity(limits: dict[str, Any]) -> MachineCapacity:
     # "Cores" is not a number of cores: the one core is that many times as fast.
     cores = float(limits["CpuShare"]) * float(limits["Cores"])
-    return Strength(cores=cores, link_mbps=float(limits["LinkMbps"]))
+    return MachineCapacity(cores=cores, link_mbps=float(limits["LinkMbps"]))
 
 
 def _decode_bounds(bounds: dict[str, Any]) -> Bounds:
@@ -96,9 +96,9 @@
     )
 
 
-def read_address(text: str) -> Listening:
+def read_address(text: str) -> SocketAddress:
     """Read ``HOST:PORT``; raises ``ValueError``."""
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdigit():
         raise ValueError(f"{text!r} is not HOST:PORT")
-    return Listening(host, int(port))
+    return SocketAddress(host, int(port))
--- a/src/kestreltally/platform/store.py
+++ b/src/kestreltally/platform/store.py
@@ -16,9 +16,9 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout, TCPConnector
 
 from kestreltally.decisions import Decision, log_decision
-from kestreltally.deployment import Listening
+from kestreltally.deployment import SocketAddress
 from kestreltally.fleet.model import Seconds
-from kestreltally.platform.documents import ODD_FORM
+from kestreltally.platform.documents import FORMAT_ERRORS
 from kestreltally.sockets import harden_socket
 
 LOG = logging.getLogger("kestreltally.store")
@@ -37,10 +37,10 @@
 _ERA: Final = "Store-Era"
 # The era before any return from a copy, and what stands for one that is not told.
 FIRST_ERA: Final = 0
-NO_ERA: Final = -1
+UNKNOWN_ERA: Final = -1
 # What others had written is written again within some two seconds of the return, as
 # what has lapsed while the store was away.
-REWRITTEN_WITHIN: Final[Seconds] = 2.2
+REWRITE_WINDOW: Final[Seconds] = 2.2
 
 
 class Revision(NamedTuple):
@@ -50,14 +50,14 @@
     number: int
 
 
-NO_REVISION: Final = Revision(NO_ERA, 0)
+NO_REVISION: Final = Revision(UNKNOWN_ERA, 0)
 
 
 class StoreError(Exception):
     """The store did not answer as asked; a write may still have been done."""
 
 
-class StoreRefused(StoreError):
+class RequestRejected(StoreError):
     """The store answered that nothing was done."""
 
 
@@ -65,7 +65,7 @@
     """The store no longer has the changes asked for: list again."""
 
 
-class EraPassed(HistoryGone):
+class StaleEra(HistoryGone):
     """The store has come back from a copy: what is known of it is of an older era.
 
     A write may have been done under a condition that no longer says what it said.
@@ -99,10 +99,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An object that was written, or deleted when ``gone``."""
+    """An object that was written, or deleted when ``deleted``."""
 
     object: StoredObject
-    gone: bool
+    deleted: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,15 +125,15 @@
         return Revision(self.era, int(self.body["CurrentRev"]))
 
 
-def lacks_writes(copied_at: Seconds, at: Seconds) -> bool:
+def lacks_writes(restored_at: Seconds, at: Seconds) -> bool:
     """Tell whether a store that came back lacked others' writes still at a moment."""
-    return at - copied_at < REWRITTEN_WITHIN
+    return at - restored_at < REWRITE_WINDOW
 
 
 def _check_era(revision: Revision, era: int) -> None:
-    """Raise ``EraPassed`` where a revision is of an older era than is known."""
+    """Raise ``StaleEra`` where a revision is of an older era than is known."""
     if revision.era != era:
-        raise EraPassed(f"era {revision.era} has passed, {era} is known")
+        raise StaleEra(f"era {revision.era} has passed, {era} is known")
 
 
 def read_era(headers: Mapping[str, str]) -> int | None:
@@ -153,18 +153,18 @@
     )
 
 
-def read_listed(items: list[Any], era: int = NO_ERA) -> list[StoredObject]:
+def decode_objects(items: list[Any], era: int = UNKNOWN_ERA) -> list[StoredObject]:
     """Return the objects of a page; what is no object is left out."""
     objects = []
     for item in items:
         try:
             objects.append(_decode_object(item, era))
-        except ODD_FORM as error:
+        except FORMAT_ERRORS as error:
             log_decision(LOG, Decision.OBJECT_REJECTED, reason=repr(error))
     return objects
 
 
-def read_page(call: str, content: bytes) -> Any:
+def decode_page(call: str, content: bytes) -> Any:
     """Return what a body holds; raises ``StoreError``.
 
     Where a writer has put bytes that are no text, they alone are lost.
@@ -178,17 +178,17 @@
 class Store:
     """Calls to the store. Every call is priced, also one that is refused."""
 
-    def __init__(self, session: ClientSession, address: Listening) -> None:
+    def __init__(self, session: ClientSession, address: SocketAddress) -> None:
         self._session = session
         self._base = f"http://{address.host}:{address.port}/objects"
         self.calls = 0
         # The latest era that was told, and when it was first known that the store had
         # come back from a copy, by the loop's clock. Who has just started cannot tell
         # how long ago that was.
-        self.era = NO_ERA
-        self.copied_at: Seconds = float("-inf")
+        self.era = UNKNOWN_ERA
+        self.restored_at: Seconds = float("-inf")
 
-    def _note_era(self, call: str, headers: Mapping[str, str]) -> int:
+    def _record_era(self, call: str, headers: Mapping[str, str]) -> int:
         """Take in the era of an answer; raises ``StoreError`` for a late one's."""
         era = read_era(headers)
         if era is None:
@@ -197,7 +197,7 @@
             raise StoreError(f"{call}: an answer of era {era}, {self.era} is known")
         if era > self.era:
             if era > FIRST_ERA:
-                self.copied_at = asyncio.get_running_loop().time()
+                self.restored_at = asyncio.get_running_loop().time()
                 log_decision(LOG, Decision.STORE_COPIED, era=era)
             self.era = era
         return era
@@ -211,7 +211,7 @@
             # then seen again by the watch.
             revision = revision or page.read_revision()
             _check_era(revision, page.era)
-            objects.extend(read_listed(page.body["items"], page.era))
+            objects.extend(decode_objects(page.body["items"], page.era))
         return Listing(tuple(objects), revision or NO_REVISION)
 
     async def _list_pages(self, kind: str) -> AsyncIterator[_Answer]:
@@ -228,12 +228,12 @@
         """Wait for changes after a revision; raises ``StoreError``."""
         _check_era(revision, self.era)
         query = {"Watch": str(revision.number), "WaitMs": str(int(wait * 1000))}
-        page = await self._call("GET", kind, query=query, limit=wait + WATCH_MARGIN)
+        page = await self._call("GET", kind, query=query, timeout=wait + WATCH_MARGIN)
         _check_era(revision, page.era)
         changes = tuple(
             Change(each, bool(event["Tombstone"]))
             for event in page.body["events"]
-            for each in read_listed([event["Object"]], page.era)
+            for each in decode_objects([event["Object"]], page.era)
         )
         return Changes(changes, page.read_revision())
 
@@ -247,15 +247,15 @@
     async def create(self, kind: str, name: str, content: Any) -> StoredObject:
         """Make an object; raises ``Conflict`` when there is one."""
         body = {"Metadata": {"Name": name}, "Specification": content}
-        written = await self._call("POST", kind, body=body, limit=WRITE_TIMEOUT)
-        return _decode_object(written.body, written.era)
+        stored = await self._call("POST", kind, body=body, timeout=WRITE_TIMEOUT)
+        return _decode_object(stored.body, stored.era)
 
     async def replace(
         self, kind: str, name: str, revision: Revision, content: Any
     ) -> StoredObject:
         """Replace an object of a known revision.
 
-        Raises ``Conflict`` for another revision, and ``EraPassed`` where the store
+        Raises ``Conflict`` for another revision, and ``StaleEra`` where the store
         came back from a copy before it answered: the number may have been another
         object's, and the write done all the same.
         """
@@ -263,11 +263,11 @@
         metadata = {"Name": name, "Revision": revision.number}
         body = {"Metadata": metadata, "Specification": content}
         path = f"{kind}/{name}"
-        written = await self._call("PUT", path, body=body, limit=WRITE_TIMEOUT)
-        if written.body is None:
+        stored = await self._call("PUT", path, body=body, timeout=WRITE_TIMEOUT)
+        if stored.body is None:
             raise Conflict(None)
-        _check_era(revision, written.era)
-        return _decode_object(written.body, written.era)
+        _check_era(revision, stored.era)
+        return _decode_object(stored.body, stored.era)
 
     async def _call(
         self,
@@ -275,7 +275,7 @@
         path: str,
         query: dict[str, str] | None = None,
         body: Any = None,
-        limit: Seconds = CALL_TIMEOUT,
+        timeout: Seconds = CALL_TIMEOUT,
     ) -> _Answer:
         self.calls += 1
         try:
@@ -284,13 +284,13 @@
                 f"{self._base}/{path}",
                 params=query,
                 json=body,
-                timeout=ClientTimeout(total=limit, sock_connect=CALL_TIMEOUT),
+                timeout=ClientTimeout(total=timeout, sock_connect=CALL_TIMEOUT),
             ) as answer:
                 content = await answer.read()
         except (TimeoutError, ClientError, OSError) as error:
             raise StoreError(f"{method} {path}: {error!r}") from error
         call = f"{method} {path}"
-        era = self._note_era(call, answer.headers)
+        era = self._record_era(call, answer.headers)
         return _Answer(era, _read_answer(call, answer.status, content, era))
 
 
@@ -300,11 +300,11 @@
     if status == HISTORY_GONE:
         raise HistoryGone(call)
     if status not in (OK, CREATED, CONFLICT):
-        raise StoreRefused(f"{call}: status {status}")
-    decoded = read_page(call, content)
+        raise RequestRejected(f"{call}: status {status}")
+    decoded = decode_page(call, content)
     if status == CONFLICT:
-        known = isinstance(decoded, dict) and "Metadata" in decoded
-        raise Conflict(_decode_object(decoded, era) if known else None)
+        has_object = isinstance(decoded, dict) and "Metadata" in decoded
+        raise Conflict(_decode_object(decoded, era) if has_object else None)
     return decoded
 
 
@@ -317,7 +317,7 @@
         return connection
 
     session = ClientSession(
-        connector=TCPConnector(limit=0, socket_factory=make_socket),
+        connector=TCPConnector(timeout=0, socket_factory=make_socket),
         timeout=ClientTimeout(total=None),
         auto_decompress=False,
     )
--- a/src/kestreltally/poison/guard.py
+++ b/src/kestreltally/poison/guard.py
@@ -32,7 +32,7 @@
             return None
         return self.register.find_block(fingerprint.digest)
 
-    def keep_house(self) -> None:
+    def run_maintenance(self) -> None:
         """Give the verdicts that are due, and forget what no longer counts."""
         self.register.judge()
         self.ends.prune_old()
--- a/src/kestreltally/poison/keeping.py
+++ b/src/kestreltally/poison/keeping.py
@@ -13,9 +13,9 @@
 
 from kestreltally.decisions import Decision, log_decision
 from kestreltally.fleet.model import Seconds
-from kestreltally.platform.documents import ODD_FORM
+from kestreltally.platform.documents import FORMAT_ERRORS
 from kestreltally.platform.store import (
-    NO_ERA,
+    UNKNOWN_ERA,
     Conflict,
     Revision,
     Store,
@@ -64,7 +64,7 @@
 
     @classmethod
     def decode(cls, content: Any) -> "Record":
-        """Return the record of an object; raises one of ``ODD_FORM``."""
+        """Return the record of an object; raises one of ``FORMAT_ERRORS``."""
         return cls(
             bytes.fromhex(content["secret"]),
             tuple(_decode_sighting(each) for each in content["sightings"]),
@@ -100,9 +100,9 @@
         self._name = name
         self._leads = leads
         self._clock = clock
-        self._wall = wall
+        self._wall_clock = wall
         self._revision: Revision | None = None
-        self._era = NO_ERA
+        self._era = UNKNOWN_ERA
         self._kept: frozenset[tuple[Digest, Life]] | None = frozenset()
         self._has_read = False
 
@@ -147,17 +147,17 @@
     def _take(self, stored: StoredObject) -> None:
         try:
             record = Record.decode(stored.content)
-        except ODD_FORM as error:
+        except FORMAT_ERRORS as error:
             log_decision(LOG, Decision.POISON_NOT_KEPT, reason=repr(error))
             return
         self._poison.secret.take(record.secret)
         if record.secret == self._poison.secret.value:
-            shift = self._clock() - self._wall()
+            shift = self._clock() - self._wall_clock()
             self._poison.register.record_reported(_shift(record.sightings, shift))
 
     async def _write(self, sightings: list[Sighting]) -> bool:
         """Write what is stopped; tell whether it was written."""
-        shift = self._wall() - self._clock()
+        shift = self._wall_clock() - self._clock()
         kept = tuple(_shift(sightings, shift))
         content = Record(self._poison.secret.value, kept).encode()
         try:
--- a/src/kestreltally/policies/placement.py
+++ b/src/kestreltally/policies/placement.py
@@ -16,11 +16,11 @@
 RANDOM_LRU: Final = "random_lru"
 RENDEZVOUS_LRU: Final = "rendezvous_lru"
 LEAST_LOADED_LRU: Final = "least_loaded_lru"
-KEEP_RATIO: Final = 0.5
-REPLICATE_ABOVE_BATCHES: Final = 8.0
+EVICTION_DEMAND_RATIO: Final = 0.5
+REPLICATION_THRESHOLD_BATCHES: Final = 8.0
 
 
-def _fullness(candidate: Candidate) -> float:
+def _occupancy(candidate: Candidate) -> float:
     return (candidate.occupied + candidate.queued) / candidate.batch_limit
 
 
@@ -34,23 +34,25 @@
 
     The few homes of an adapter are its first by rendezvous hashing, so that all
     entry daemons meet at the same ones without speaking to each other. Another
-    home loads it only when more than ``REPLICATE_ABOVE_BATCHES`` batches run and
+    home loads it only when more than ``REPLICATION_THRESHOLD_BATCHES`` batches run and
     wait where it is held: a load that is not needed takes the weight store's time
     from all that wait.
     """
-    held = [each for each in candidates if each.loaded]
+    holders = [each for each in candidates if each.loaded]
     others = [each for each in candidates if not each.loaded and each.rank < homes]
-    if held:
-        emptiest = min(held, key=lambda each: (_fullness(each), each.far, each.rank))
-        if not others or _fullness(emptiest) < REPLICATE_ABOVE_BATCHES:
-            return emptiest
+    if holders:
+        least_occupied = min(
+            holders, key=lambda each: (_occupancy(each), each.remote, each.rank)
+        )
+        if not others or _occupancy(least_occupied) < REPLICATION_THRESHOLD_BATCHES:
+            return least_occupied
     return min(others or candidates, key=lambda each: each.rank)
 
 
 @chooses_victim(AFFINITY)
-def evict_least_wanted(
+def evict_least_demanded(
     residents: Sequence[Resident],
-    gain: float,
+    incoming_demand: float,
     now: Seconds,
 ) -> Resident | None:
     """Return the resident with the least demand, if the newcomer has clearly more.
@@ -61,7 +63,7 @@
     if not idle:
         return None
     least = min(idle, key=lambda each: (each.demand, each.used_at))
-    return least if gain * KEEP_RATIO >= least.demand else None
+    return least if incoming_demand * EVICTION_DEMAND_RATIO >= least.demand else None
 
 
 @chooses_endpoint(RANDOM_LRU)
@@ -93,14 +95,14 @@
     """Return the least full candidate, of equals one that holds the adapter."""
     return min(
         candidates,
-        key=lambda each: (_fullness(each), not each.loaded, random.random()),
+        key=lambda each: (_occupancy(each), not each.loaded, random.random()),
     )
 
 
 @chooses_victim(RANDOM_LRU, RENDEZVOUS_LRU, LEAST_LOADED_LRU)
 def evict_least_recent(
     residents: Sequence[Resident],
-    gain: float,
+    incoming_demand: float,
     now: Seconds,
 ) -> Resident | None:
     """Return the resident whose last use is longest ago."""
--- a/src/kestreltally/policies/registry.py
+++ b/src/kestreltally/policies/registry.py
@@ -16,7 +16,7 @@
 class Candidate:
     """An endpoint at which a request could run, as an entry daemon sees it.
 
-    ``rank`` is its place by rendezvous hashing for the adapter; ``far`` says that it
+    ``rank`` is its place by rendezvous hashing for the adapter; ``remote`` says that it
     is in another data centre.
     """
 
@@ -26,7 +26,7 @@
     occupied: int
     queued: int
     batch_limit: int
-    far: bool
+    remote: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/kestreltally/quotas/ledger.py
+++ b/src/kestreltally/quotas/ledger.py
@@ -14,7 +14,7 @@
 from kestreltally.fleet.model import Organisation, OrganisationName, Seconds
 from kestreltally.quotas.grants import Grant, QuotaBounds
 from kestreltally.quotas.spending import SHARE_TIME, Spending, Word
-from kestreltally.rates import Pace
+from kestreltally.rates import RateMeter
 
 # An organisation spends freely while less than this part of what it may spend at once
 # is used up. What it asks for in the 0.5 s until all daemons know better comes on top,
@@ -47,9 +47,9 @@
     for over the time of daemons' own shares.
     """
 
-    asked: Pace
-    granted: Pace
-    usual: Pace
+    asked: RateMeter
+    granted: RateMeter
+    usual: RateMeter
     at: Seconds
     used: float = 0.0
 
@@ -165,8 +165,8 @@
 
 def _open_account(now: Seconds) -> Account:
     return Account(
-        asked=Pace(ASKED_TIME, now),
-        granted=Pace(ASKED_TIME, now),
-        usual=Pace(SHARE_TIME, now, began=now),
+        asked=RateMeter(ASKED_TIME, now),
+        granted=RateMeter(ASKED_TIME, now),
+        usual=RateMeter(SHARE_TIME, now, started_at=now),
         at=now,
     )
--- a/src/kestreltally/quotas/limiters.py
+++ b/src/kestreltally/quotas/limiters.py
@@ -17,7 +17,7 @@
     SpendingCounter,
     Word,
 )
-from kestreltally.rates import Bucket, Pace
+from kestreltally.rates import Bucket, RateMeter
 
 # A leader's words are believed this long: it sends some each 0.2 s.
 WORD_LIFE: Final[Seconds] = 0.45
@@ -42,7 +42,7 @@
 class Share:
     """This daemon's part in an organisation's requests."""
 
-    asked: Pace
+    asked: RateMeter
     alone: Bucket
     lent: Bucket
     # By the size of requests, how much of the next one is granted already. It begins
@@ -123,7 +123,9 @@
         now = self._clock()
         share = self._shares.get(name)
         if share is None:
-            share = Share(Pace(SHARE_TIME, now, began=now), Bucket(now), Bucket(now))
+            share = Share(
+                RateMeter(SHARE_TIME, now, started_at=now), Bucket(now), Bucket(now)
+            )
             self._shares[name] = share
         share.asked.add(units, now)
         grant = self._bounds.find_grant(quota)
@@ -165,7 +167,7 @@
                 # What fills up while words come is not for who is at its limit.
                 share.alone.level = min(share.alone.level, 1.0)
                 share.alone.at = now
-        granted = share.alone.take(units, rate, ALONE_DEPTH * rate, now)
+        granted = share.alone.acquire(units, rate, ALONE_DEPTH * rate, now)
         return None if granted else ALONE_WAIT
 
     def _find_part(self, share: Share) -> float:
@@ -204,7 +206,7 @@
         self, grant: Grant, units: int, share: Share, word: Word, now: Seconds
     ) -> bool:
         rate = self._find_part(share) * grant.rate
-        return share.lent.take(units, rate, SHARE_DEPTH * rate, now)
+        return share.lent.acquire(units, rate, SHARE_DEPTH * rate, now)
 
 
 @limits("equal")
@@ -221,4 +223,4 @@
     ) -> Seconds | None:
         rate = grant.rate / max(1, self.daemons)
         depth = grant.burst / max(1, self.daemons)
-        return None if share.lent.take(units, rate, depth, now) else ALONE_WAIT
+        return None if share.lent.acquire(units, rate, depth, now) else ALONE_WAIT
--- a/src/kestreltally/requests/claims.py
+++ b/src/kestreltally/requests/claims.py
@@ -97,7 +97,7 @@
         wall: Callable[[], float] = time.time,
     ) -> None:
         self._objects = objects
-        self._wall = wall
+        self._wall_clock = wall
 
     async def claim(
         self,
@@ -111,7 +111,7 @@
             caller=caller,
             request=request,
             claimant=claimant,
-            at=self._wall(),
+            at=self._wall_clock(),
         )
         return await self._write(key, value, expected_version=0)
 
@@ -190,7 +190,7 @@
         deleted = 0
         for stored in listing.objects:
             held = _read_value(stored)
-            if held is None or self._wall() - held.at <= retention:
+            if held is None or self._wall_clock() - held.at <= retention:
                 continue
             if await self._objects.delete(stored.key, stored.version):
                 deleted += 1
--- a/src/kestreltally/runtime.py
+++ b/src/kestreltally/runtime.py
@@ -21,12 +21,12 @@
     ClaimEndpoint,
     FenceRaised,
     FetchReport,
-    Happening,
     LoadAdapter,
     LoadEnded,
     MessageArrived,
     Order,
     OrderOutcome,
+    OutsideEvent,
     PermitUsed,
     RaiseFence,
     ReadLeader,
@@ -53,7 +53,7 @@
 from kestreltally.world import World
 
 LOG = logging.getLogger("kestreltally.runtime")
-CANCEL_AGAIN_AFTER: Final[Seconds] = 0.1
+CANCEL_RETRY_INTERVAL: Final[Seconds] = 0.1
 # A timer may fire a little early; then the tick is due all the same.
 TICK_SLACK: Final[Seconds] = 0.001
 NO_ATTEMPT: Final = AttemptId("")
@@ -121,7 +121,7 @@
             tasks = list(self._tasks)
             for task in tasks:
                 task.cancel()
-            await asyncio.wait(tasks, timeout=CANCEL_AGAIN_AFTER)
+            await asyncio.wait(tasks, timeout=CANCEL_RETRY_INTERVAL)
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
@@ -136,9 +136,9 @@
             LOG.error("runtime: a task failed: %r", error, exc_info=error)
             self.failed.set()
 
-    def post(self, happening: Happening) -> None:
+    def post(self, event: OutsideEvent) -> None:
         """Put a happening into the inbox and wake the tick."""
-        self.world.inbox.append(happening)
+        self.world.inbox.append(event)
         self._wake.set()
 
     async def _run_ticks(self) -> None:
@@ -159,10 +159,10 @@
         if not woken:
             self._next_tick_at = now + self.world.settings.timing.tick
         run_step(self.world, now, woken)
-        self._carry_out()
+        self._execute_orders()
         self._answer_wants()
 
-    def _carry_out(self) -> None:
+    def _execute_orders(self) -> None:
         orders, self.world.outbox = self.world.outbox, []
         batches: dict[tuple[str, int], list[PeerMessage]] = defaultdict(list)
         for order in orders:
@@ -217,10 +217,10 @@
             answer: WantAnswer = await future
             return answer
         except asyncio.CancelledError:
-            self.give_up(want.want, future)
+            self.abandon(want.want, future)
             raise
 
-    def give_up(self, want: str, future: "asyncio.Future[WantAnswer]") -> None:
+    def abandon(self, want: str, future: "asyncio.Future[WantAnswer]") -> None:
         """Forget a request whose caller is gone; return a permit that came late."""
         self._waiting.pop(want, None)
         self.post(WantDropped(want=want))
--- a/src/kestreltally/settings.py
+++ b/src/kestreltally/settings.py
@@ -12,10 +12,10 @@
 Duration = Annotated[float, Meta(gt=0, le=3600)]
 Count = Annotated[int, Meta(ge=1, le=1_000_000)]
 
-EXIT_BAD_SETTINGS: Final = 2
+EXIT_INVALID_SETTINGS: Final = 2
 
 
-class BadSettings(ValueError):
+class InvalidSettings(ValueError):
     """The settings cannot be used; the text names file, key, value and the rule."""
 
 
@@ -128,23 +128,23 @@
     logging: Logging = field(default_factory=Logging)
 
 
-def _find_unknown_key(plain: Any, of_type: Any, place: str) -> str | None:
+def _find_unknown_key(plain: Any, of_type: Any, prefix: str) -> str | None:
     """Return the path of the first key that ``of_type`` does not have."""
     if not (isinstance(plain, dict) and is_dataclass(of_type)):
         return None
     hints = get_type_hints(of_type)
     known = [each.name for each in fields(of_type)]
     for key, value in plain.items():
-        path = f"{place}.{key}".lstrip(".")
+        path = f"{prefix}.{key}".lstrip(".")
         if key not in known:
             return f"{path}: unknown key; allowed are {', '.join(known)}"
-        deeper = _find_unknown_key(value, hints[key], path)
-        if deeper is not None:
-            return deeper
+        nested = _find_unknown_key(value, hints[key], path)
+        if nested is not None:
+            return nested
     return None
 
 
-def _find_value(plain: Any, path: str) -> Any:
+def _get_value(plain: Any, path: str) -> Any:
     for step in path.split("."):
         if not isinstance(plain, dict) or step not in plain:
             return None
@@ -164,34 +164,34 @@
 
 
 def check_settings(plain: Any, source: str) -> Settings:
-    """Return the settings in ``plain``; raises ``BadSettings``."""
+    """Return the settings in ``plain``; raises ``InvalidSettings``."""
     if not isinstance(plain, dict):
-        raise BadSettings(f"{source}: the top must be keys with values")
+        raise InvalidSettings(f"{source}: the top must be keys with values")
     unknown = _find_unknown_key(plain, Settings, "")
     if unknown is not None:
-        raise BadSettings(f"{source}: {unknown}")
+        raise InvalidSettings(f"{source}: {unknown}")
     try:
         settings = msgspec.convert(plain, Settings)
     except msgspec.ValidationError as error:
         rule, _, path = str(error).partition(" - at `$.")
         path = path.rstrip("`")
-        found = _find_value(plain, path)
-        shown = f"{path} = {found!r}: " if path else ""
-        raise BadSettings(f"{source}: {shown}{rule}") from error
-    wrong = _check_order(settings.timing)
-    if wrong is not None:
-        raise BadSettings(f"{source}: {wrong}")
+        value = _get_value(plain, path)
+        shown = f"{path} = {value!r}: " if path else ""
+        raise InvalidSettings(f"{source}: {shown}{rule}") from error
+    problem = _check_order(settings.timing)
+    if problem is not None:
+        raise InvalidSettings(f"{source}: {problem}")
     return settings
 
 
 def load_settings(path: Path) -> Settings:
-    """Return the checked settings of a file; raises ``BadSettings``."""
+    """Return the checked settings of a file; raises ``InvalidSettings``."""
     try:
         plain = yaml.safe_load(path.read_text(encoding="utf-8"))
     except OSError as error:
-        raise BadSettings(f"{path}: cannot be read: {error.strerror}") from error
+        raise InvalidSettings(f"{path}: cannot be read: {error.strerror}") from error
     except yaml.YAMLError as error:
-        raise BadSettings(
+        raise InvalidSettings(
             f"{path}: not YAML: {' '.join(str(error).split())}"
         ) from error
     return check_settings(plain, str(path))
--- a/src/kestreltally/systems/granting.py
+++ b/src/kestreltally/systems/granting.py
@@ -378,9 +378,9 @@
 def _pick_views(world: World, led: LedEndpoint, holder: VmId) -> list[View]:
     """Return the endpoint's view, unless the holder was told it just now."""
     key = (holder, led.endpoint)
-    if world.now - world.book.views_told.get(key, NEVER) < VIEW_AGAIN_AFTER:
+    if world.now - world.book.views_reported.get(key, NEVER) < VIEW_AGAIN_AFTER:
         return []
-    world.book.views_told[key] = world.now
+    world.book.views_reported[key] = world.now
     return [describe_view(world, led)]
 
 
--- a/src/kestreltally/systems/holding.py
+++ b/src/kestreltally/systems/holding.py
@@ -107,7 +107,7 @@
                 occupied=view.occupied,
                 queued=view.queued,
                 batch_limit=spec.batch_limit,
-                far=spec.data_centre != world.identity.data_centre,
+                remote=spec.data_centre != world.identity.data_centre,
             )
         )
     return candidates
--- a/src/kestreltally/systems/leadership.py
+++ b/src/kestreltally/systems/leadership.py
@@ -32,8 +32,8 @@
     ClaimEnded,
     ClaimEndpoint,
     FenceRaised,
+    LeaderRead,
     LeadersChanged,
-    LeaderWasRead,
     OrderOutcome,
     RaiseFence,
     ReadLeader,
@@ -99,7 +99,7 @@
 
 def _choose_owner(world: World, endpoint: EndpointId, data_centre: str) -> VmId | None:
     """Return the owner among the daemons near an endpoint, or among all."""
-    near = world.leaders.near
+    near = world.leaders.vms_by_data_centre
     owner = choose_owner(endpoint, near.get(data_centre) or near[ALL])
     return VmId(owner) if owner is not None else None
 
@@ -122,14 +122,14 @@
     """
     stamp = (world.members.changes, world.config.revision)
     table = world.leaders
-    if table.owned_for == stamp:
+    if table.owned_as_of == stamp:
         return
-    table.owned_for = stamp
+    table.owned_as_of = stamp
     near: dict[str, list[str]] = {ALL: []}
     for vm in list_eligible(world):
         near[ALL].append(vm)
         near.setdefault(find_data_centre(world, vm), []).append(vm)
-    table.near = near
+    table.vms_by_data_centre = near
     own = world.identity
     table.owners = {
         endpoint: _choose_owner(world, endpoint, spec.data_centre)
@@ -176,10 +176,10 @@
     longer each time when what it took is taken back: then the others do live.
     """
     if has_contact(world):
-        world.leaders.lost_alone = 0
+        world.leaders.isolated_losses = 0
         return False
     alone_since = max(world.members.confirmed_at, world.started_at)
-    doublings = min(world.leaders.lost_alone, MOST_DOUBLINGS)
+    doublings = min(world.leaders.isolated_losses, MOST_DOUBLINGS)
     wait = world.settings.timing.isolated_claim * (1 << doublings)
     return world.now - alone_since < wait
 
@@ -301,7 +301,7 @@
     world.entry.hints.pop(record.endpoint, None)
     led = table.led.get(record.endpoint)
     if led is not None and record.epoch > led.record.epoch:
-        world.leaders.lost_alone += not has_contact(world)
+        world.leaders.isolated_losses += not has_contact(world)
         stop_leading(world, record.endpoint, "another leads")
 
 
@@ -317,8 +317,8 @@
     world.leaders.led.pop(endpoint, None)
     for permit in list(world.permits_of(endpoint)):
         del world.book.permits[permit.permit]
-    for key in [each for each in world.book.views_told if each[1] == endpoint]:
-        del world.book.views_told[key]
+    for key in [each for each in world.book.views_reported if each[1] == endpoint]:
+        del world.book.views_reported[key]
     for ask in [a for a in world.book.asks.values() if a.endpoint == endpoint]:
         del world.book.asks[ask.ask]
     for load in [a for a in world.book.loads.values() if a.endpoint == endpoint]:
@@ -351,8 +351,8 @@
             world.outbox.append(ReadLeader(endpoint=led.endpoint))
 
 
-@handles(LeaderWasRead)
-def take_read_leader(world: World, read: LeaderWasRead) -> None:
+@handles(LeaderRead)
+def take_read_leader(world: World, read: LeaderRead) -> None:
     """Confirm the leadership, or end it, by what the object API holds."""
     if read.failed or read.record is None:
         return
--- a/src/kestreltally/systems/loading.py
+++ b/src/kestreltally/systems/loading.py
@@ -380,14 +380,14 @@
     leader = find_budget_leader(world)
     if leader is None:
         return True
-    heard_at = world.book.budget_heard_at
+    heard_at = world.book.budget_received_at
     return world.now - heard_at > FALL_BACK_AFTER
 
 
 @hears(GrantLoad)
 def take_budget(world: World, sender: VmId, granted: GrantLoad) -> None:
     """Order the load that the budget leader has given leave for."""
-    world.book.budget_heard_at = world.now
+    world.book.budget_received_at = world.now
     load = world.book.loads.get(granted.load)
     if load is None:
         world.send(sender, EndLoad(load=granted.load))
--- a/src/kestreltally/systems/membership.py
+++ b/src/kestreltally/systems/membership.py
@@ -12,7 +12,7 @@
 
 from kestreltally.entities.ids import DataCentre, Seconds, VmId
 from kestreltally.entities.members import Member, MemberState
-from kestreltally.orders import StopAsked, VmsListed
+from kestreltally.orders import StopRequested, VmsListed
 from kestreltally.peers.messages import Ack, Ping, PingFor, Rumour
 from kestreltally.systems.configuration import note_peer_revision, tell_unconfirmed
 from kestreltally.systems.registry import handles, handles_pause, hears, runs_each_tick
@@ -165,7 +165,7 @@
     host: str,
     port: int,
     on_behalf_of: VmId | None = None,
-    their_sequence: int = 0,
+    requester_sequence: int = 0,
 ) -> None:
     table = world.members
     table.sequence += 1
@@ -173,7 +173,7 @@
         subject=vm,
         sent_at=world.now,
         on_behalf_of=on_behalf_of,
-        their_sequence=their_sequence,
+        requester_sequence=requester_sequence,
     )
     ping = Ping(
         sequence=table.sequence,
@@ -229,8 +229,8 @@
 def send_heartbeats(world: World) -> None:
     """Send the heartbeats that are due."""
     table = world.members
-    for _ in range(min(FIRST_PROBES_PER_TICK, len(table.unprobed))):
-        listed = table.unprobed.pop()
+    for _ in range(min(FIRST_PROBES_PER_TICK, len(table.unprobed_vms))):
+        listed = table.unprobed_vms.pop()
         if not _is_known_up(world, listed.vm):
             _send_ping(world, listed.vm, listed.host, listed.port)
     if world.now < table.next_heartbeat_at:
@@ -273,13 +273,13 @@
             del table.pending[sequence]
             if pending.on_behalf_of is None:
                 _suspect(world, pending.subject)
-        elif age > timing.ack_timeout and not pending.asked_others:
-            table.pending[sequence] = replace(pending, asked_others=True)
+        elif age > timing.ack_timeout and not pending.indirect_probe_sent:
+            table.pending[sequence] = replace(pending, indirect_probe_sent=True)
             if pending.on_behalf_of is None and _is_known_up(world, pending.subject):
                 table.recent_pings.append(False)
                 _ask_helpers(world, sequence, pending)
-    if world.now - table.judged_at >= timing.ack_timeout:
-        table.judged_at = world.now
+    if world.now - table.suspects_checked_at >= timing.ack_timeout:
+        table.suspects_checked_at = world.now
         _judge_doubtful(world)
 
 
@@ -341,7 +341,7 @@
         subject.host,
         subject.port,
         on_behalf_of=sender,
-        their_sequence=request.sequence,
+        requester_sequence=request.sequence,
     )
 
 
@@ -354,14 +354,14 @@
     if pending is None or pending.subject != ack.subject:
         return
     if pending.on_behalf_of is not None:
-        passed = replace(ack, sequence=pending.their_sequence)
+        passed = replace(ack, sequence=pending.requester_sequence)
         world.send(pending.on_behalf_of, passed)
         return
     member = world.members.known.get(pending.subject)
     if member is not None:
         world.members.known[member.vm] = replace(member, acked_at=world.now)
         world.members.latest_ack = world.now
-    if sender == pending.subject and not pending.asked_others:
+    if sender == pending.subject and not pending.indirect_probe_sent:
         world.members.recent_pings.append(True)
 
 
@@ -376,12 +376,12 @@
     own = world.identity.vm
     for vm, each in new.items():
         if each.is_daemon and vm != own and vm not in table.listed:
-            table.unprobed.append(each)
+            table.unprobed_vms.append(each)
     table.listed = new
 
 
-@handles(StopAsked)
-def announce_leaving(world: World, _: StopAsked) -> None:
+@handles(StopRequested)
+def announce_leaving(world: World, _: StopRequested) -> None:
     """Tell the others that this daemon is leaving."""
     table = world.members
     table.leaving = True
--- a/src/kestreltally/systems/registry.py
+++ b/src/kestreltally/systems/registry.py
@@ -5,7 +5,7 @@
 from typing import Any, Final, TypeVar
 
 from kestreltally.entities.ids import Seconds, VmId
-from kestreltally.orders import Happening, MessageArrived
+from kestreltally.orders import MessageArrived, OutsideEvent
 from kestreltally.world import World
 
 LOG = logging.getLogger("kestreltally.peers")
@@ -75,12 +75,12 @@
             LOG.warning("peers: a message of %s left out: %s", arrived.sender, error)
 
 
-def _handle(world: World, happening: Happening) -> None:
-    if isinstance(happening, MessageArrived):
-        _hear(world, happening)
+def _handle(world: World, event: OutsideEvent) -> None:
+    if isinstance(event, MessageArrived):
+        _hear(world, event)
         return
-    for handler in HANDLERS.get(type(happening), ()):
-        handler(world, happening)
+    for handler in HANDLERS.get(type(event), ()):
+        handler(world, event)
 
 
 def _drain_inbox(world: World) -> None:
--- a/src/kestreltally/timeline/events.py
+++ b/src/kestreltally/timeline/events.py
@@ -8,7 +8,7 @@
 import msgspec
 
 STAMP_STEP: Final = 1e-6
-MOST_AHEAD: Final = 60.0
+MAX_CLOCK_SKEW: Final = 60.0
 MATCHED_FIELDS: Final = ("request", "adapter", "endpoint", "vm", "part")
 
 
@@ -47,16 +47,16 @@
     def passes(self, event: Event) -> bool:
         """Tell whether the event is to be shown."""
         for name in MATCHED_FIELDS:
-            wanted = getattr(self, name)
-            if wanted and not _matches(getattr(event, name), wanted):
+            expected = getattr(self, name)
+            if expected and not _matches(getattr(event, name), expected):
                 return False
         return True
 
 
-def _matches(value: str, wanted: str) -> bool:
+def _matches(value: str, expected: str) -> bool:
     """Tell whether a field is the wanted one, with or without caller or version."""
     bare = value.partition(":")[2] or value
-    return wanted in (value, bare, value.partition("@")[0])
+    return expected in (value, bare, value.partition("@")[0])
 
 
 class Timeline:
@@ -67,23 +67,23 @@
         vm: str,
         incarnation: int,
         limit: int,
-        wall: Callable[[], float],
+        wall_clock: Callable[[], float],
     ) -> None:
         self._vm = vm
         self._incarnation = incarnation
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._sequence = 0
         self._stamp = 0.0
         self._ring: deque[Event] = deque(maxlen=limit)
 
     def stamp(self) -> float:
         """Return the next hybrid logical time."""
-        self._stamp = max(self._wall(), self._stamp + STAMP_STEP)
+        self._stamp = max(self._wall_clock(), self._stamp + STAMP_STEP)
         return self._stamp
 
     def observe(self, stamp: float) -> None:
         """Take in the time of a message, unless it is from a far wrong clock."""
-        if stamp < self._wall() + MOST_AHEAD:
+        if stamp < self._wall_clock() + MAX_CLOCK_SKEW:
             self._stamp = max(self._stamp, stamp)
 
     def add(self, part: str, what: str, **more: str) -> Event:
@@ -101,9 +101,9 @@
         self._ring.append(event)
         return event
 
-    def select(self, wanted: EventFilter) -> list[Event]:
+    def select(self, event_filter: EventFilter) -> list[Event]:
         """Return the kept events that pass, oldest first."""
-        return [event for event in self._ring if wanted.passes(event)]
+        return [event for event in self._ring if event_filter.passes(event)]
 
 
 def read_events(plain: Iterable[Any]) -> list[Event]:
--- a/src/kestreltally/timeline/explain.py
+++ b/src/kestreltally/timeline/explain.py
@@ -58,21 +58,21 @@
 def select_for_request(events: list[Event], request: str) -> list[Event]:
     """Return a request's events, and those of the loads that it waited for."""
     merged = merge_events(events)
-    wanted = EventFilter(request=request)
-    own = [event for event in merged if wanted.passes(event)]
-    if not own:
+    event_filter = EventFilter(request=request)
+    request_events = [event for event in merged if event_filter.passes(event)]
+    if not request_events:
         return []
-    begin, end = own[0].stamp, own[-1].stamp
-    asked = {event.endpoint for event in own if event.endpoint}
-    adapters = {event.adapter for event in own if event.adapter}
+    start, end = request_events[0].stamp, request_events[-1].stamp
+    endpoints = {event.endpoint for event in request_events if event.endpoint}
+    adapters = {event.adapter for event in request_events if event.adapter}
     return [
         event
         for event in merged
-        if event in own
+        if event in request_events
         or (
             event.part in LOAD_PARTS
-            and begin <= event.stamp <= end
-            and event.endpoint in asked
+            and start <= event.stamp <= end
+            and event.endpoint in endpoints
             and (event.adapter in adapters or any(a in event.reason for a in adapters))
         )
     ]
--- a/src/kestreltally/timeline/loglines.py
+++ b/src/kestreltally/timeline/loglines.py
@@ -8,8 +8,8 @@
 from kestreltally.decisions import Decision
 
 # What else a daemon decided this long before a request's end may be its cause, seconds.
-NEARBY: Final = 3.0
-_NEARBY: Final = frozenset(
+NEARBY_SECONDS: Final = 3.0
+_NEARBY_EVENTS: Final = frozenset(
     each.text
     for each in (
         Decision.ENDPOINT_LEFT_OUT,
@@ -27,7 +27,7 @@
         Decision.CONFIGURATION_IN_FORCE,
     )
 )
-_ENDS: Final = frozenset(
+_END_EVENTS: Final = frozenset(
     each.text
     for each in (
         Decision.REQUEST_DONE,
@@ -39,7 +39,7 @@
 
 
 # What any daemon saw of a request's content, whatever its id.
-_OF_CONTENT: Final = frozenset(
+_CONTENT_EVENTS: Final = frozenset(
     each.text
     for each in (
         Decision.ENDPOINT_ENDED,
@@ -99,31 +99,31 @@
         return None
 
 
-Teller = Callable[[dict[str, Any]], str]
-TELLERS: Final[dict[str, Teller]] = {}
+LineFormatter = Callable[[dict[str, Any]], str]
+LINE_FORMATTERS: Final[dict[str, LineFormatter]] = {}
 
 
-def tells(decision: Decision) -> Callable[[Teller], Teller]:
+def formats(decision: Decision) -> Callable[[LineFormatter], LineFormatter]:
     """Register what puts a kind of line into a sentence."""
 
-    def register(teller: Teller) -> Teller:
-        TELLERS[decision.text] = teller
-        return teller
+    def register(formatter: LineFormatter) -> LineFormatter:
+        LINE_FORMATTERS[decision.text] = formatter
+        return formatter
 
     return register
 
 
-@tells(Decision.REQUEST_WAITS)
-def tell_wait(fields: dict[str, Any]) -> str:
+@formats(Decision.REQUEST_WAITS)
+def describe_wait(fields: dict[str, Any]) -> str:
     """Tell that a request waits for its weights."""
     return (
         f"it waits for {fields.get('weights')}, which no usable engine holds; a load "
-        f"takes {_say_seconds(fields.get('load_wait'))} by the leader's word"
+        f"takes {_format_seconds(fields.get('load_wait'))} by the leader's word"
     )
 
 
-@tells(Decision.REQUEST_MOVES_ON)
-def tell_move(fields: dict[str, Any]) -> str:
+@formats(Decision.REQUEST_MOVES_ON)
+def describe_move(fields: dict[str, Any]) -> str:
     """Tell that an endpoint did not serve a request."""
     may = "may have run there" if fields.get("may_have_run") else "did not run there"
     return (
@@ -132,88 +132,90 @@
     )
 
 
-@tells(Decision.REQUEST_REFUSED)
-def tell_refusal(fields: dict[str, Any]) -> str:
+@formats(Decision.REQUEST_REFUSED)
+def describe_refusal(fields: dict[str, Any]) -> str:
     """Tell that a request was refused."""
     after = fields.get("retry_after")
-    again = f", to come back in {_say_seconds(after)}" if after is not None else ""
+    again = f", to come back in {_format_seconds(after)}" if after is not None else ""
     return (
         f"it is refused with {fields.get('status')}{again}: {fields.get('reason')} "
         f"(after {fields.get('took')} s; configuration {fields.get('configuration')})"
     )
 
 
-@tells(Decision.REQUEST_BROKEN_OFF)
-def tell_break(fields: dict[str, Any]) -> str:
+@formats(Decision.REQUEST_BROKEN_OFF)
+def describe_break(fields: dict[str, Any]) -> str:
     """Tell that an answer could not be finished."""
     return (
         f"its answer is broken off after {fields.get('took')} s: {fields.get('reason')}"
     )
 
 
-@tells(Decision.REQUEST_ABANDONED)
-def tell_abandonment(fields: dict[str, Any]) -> str:
+@formats(Decision.REQUEST_ABANDONED)
+def describe_abandonment(fields: dict[str, Any]) -> str:
     """Tell that the client left."""
     return f"its client left after {fields.get('took')} s; its run was cancelled"
 
 
-@tells(Decision.REQUEST_DONE)
-def tell_end(fields: dict[str, Any]) -> str:
+@formats(Decision.REQUEST_DONE)
+def describe_end(fields: dict[str, Any]) -> str:
     """Tell that a request was answered."""
     return (
         f"it is answered with {fields.get('status')} after {fields.get('took')} s, "
-        f"the first byte after {_say_seconds(fields.get('first'))}, of which it waited "
-        f"{_say_seconds(fields.get('waited'))} for weights"
+        f"the first byte after {_format_seconds(fields.get('first'))}, of which it waited "
+        f"{_format_seconds(fields.get('waited'))} for weights"
     )
 
 
-def _say_seconds(value: Any) -> str:
+def _format_seconds(value: Any) -> str:
     return f"{round(value, 3)} s" if value is not None else "an unknown time"
 
 
 def explain_request(lines: Sequence[LogLine], request: str) -> Explanation | None:
     """Return what became of a request, or none when no line names it."""
-    own = [line for line in lines if line.fields.get("request") == request]
-    if not own:
+    request_lines = [line for line in lines if line.fields.get("request") == request]
+    if not request_lines:
         return None
     sentences = []
-    for line in own:
+    for line in request_lines:
         trail = line.fields.get("trail") or ()
         if trail:
             sentences.append(
                 f"{line.at:.3f} {line.vm}: it took {'; then '.join(trail)}"
             )
-        teller = TELLERS.get(line.event)
-        told = teller(line.fields) if teller is not None else line.event
-        sentences.append(f"{line.at:.3f} {line.vm}: {told}")
+        formatter = LINE_FORMATTERS.get(line.event)
+        description = formatter(line.fields) if formatter is not None else line.event
+        sentences.append(f"{line.at:.3f} {line.vm}: {description}")
     nearby = tuple(
         f"{line.at:.3f} {line.vm}: {line.event} {line.fields}"
         for line in lines
-        if _is_nearby(line, own) or _is_of_content(line, own[-1])
+        if _is_nearby(line, request_lines) or _concerns_content(line, request_lines[-1])
     )
-    return Explanation(request, tuple(sentences), find_cause(own), nearby)
+    return Explanation(request, tuple(sentences), describe_cause(request_lines), nearby)
 
 
-def _is_nearby(line: LogLine, own: Sequence[LogLine]) -> bool:
-    last = own[-1]
+def _is_nearby(line: LogLine, request_lines: Sequence[LogLine]) -> bool:
+    last = request_lines[-1]
     return (
-        line.event in _NEARBY
+        line.event in _NEARBY_EVENTS
         and line.vm == last.vm
-        and own[0].at - NEARBY <= line.at <= last.at
+        and request_lines[0].at - NEARBY_SECONDS <= line.at <= last.at
     )
 
 
-def _is_of_content(line: LogLine, last: LogLine) -> bool:
+def _concerns_content(line: LogLine, last: LogLine) -> bool:
     content = last.fields.get("content")
-    if content is None or line.event not in _OF_CONTENT:
+    if content is None or line.event not in _CONTENT_EVENTS:
         return False
-    named = line.fields.get("content")
-    return content == named or (isinstance(named, list) and content in named)
+    logged_content = line.fields.get("content")
+    return content == logged_content or (
+        isinstance(logged_content, list) and content in logged_content
+    )
 
 
-def find_cause(own: Sequence[LogLine]) -> str:
+def describe_cause(request_lines: Sequence[LogLine]) -> str:
     """Return in a few words why a request ended as it did."""
-    ends = [line for line in own if line.event in _ENDS]
+    ends = [line for line in request_lines if line.event in _END_EVENTS]
     if not ends:
         return "not ended in these logs: its daemon was lost, or runs on"
     end = ends[-1]
@@ -229,9 +231,9 @@
     """Return how many requests ended in which way without being served."""
     causes: dict[str, int] = {}
     for line in lines:
-        if line.event not in _ENDS:
+        if line.event not in _END_EVENTS:
             continue
-        cause = find_cause([line])
+        cause = describe_cause([line])
         weights = line.fields.get("weights")
         if weights:
             # One cause, whichever adapter it befell.
--- a/src/kestreltally/world.py
+++ b/src/kestreltally/world.py
@@ -45,9 +45,9 @@
 )
 from kestreltally.invariants import Invariants
 from kestreltally.orders import (
-    Happening,
     MessageArrived,
     Order,
+    OutsideEvent,
     SendMessage,
     WantAnswer,
 )
@@ -110,9 +110,9 @@
 
     subject: VmId
     sent_at: Seconds
-    asked_others: bool = False
+    indirect_probe_sent: bool = False
     on_behalf_of: VmId | None = None
-    their_sequence: int = 0
+    requester_sequence: int = 0
 
 
 @dataclass
@@ -124,9 +124,9 @@
     rumours: dict[VmId, int] = field(default_factory=dict)
     pending: dict[int, PendingPing] = field(default_factory=dict)
     round: list[VmId] = field(default_factory=list)
-    unprobed: list[ListedVm] = field(default_factory=list)
+    unprobed_vms: list[ListedVm] = field(default_factory=list)
     latest_ack: Seconds = NEVER
-    judged_at: Seconds = NEVER
+    suspects_checked_at: Seconds = NEVER
     recent_pings: deque[bool] = field(default_factory=lambda: deque(maxlen=5))
     next_heartbeat_at: Seconds = 0.0
     heartbeats: int = 0
@@ -145,13 +145,13 @@
     led: dict[EndpointId, LedEndpoint] = field(default_factory=dict)
     owned: frozenset[EndpointId] = frozenset()
     owners: dict[EndpointId, VmId | None] = field(default_factory=dict)
-    near: dict[str, list[str]] = field(default_factory=dict)
-    owned_for: tuple[int, Revision] = (-1, -1)
+    vms_by_data_centre: dict[str, list[str]] = field(default_factory=dict)
+    owned_as_of: tuple[int, Revision] = (-1, -1)
     claiming: dict[EndpointId, Claiming] = field(default_factory=dict)
     last_claims: dict[EndpointId, Seconds] = field(default_factory=dict)
     offers: dict[EndpointId, Offer] = field(default_factory=dict)
     sequences: dict[EndpointId, int] = field(default_factory=dict)
-    lost_alone: int = 0
+    isolated_losses: int = 0
 
 
 @dataclass
@@ -164,9 +164,9 @@
     demand: dict[tuple[EndpointId, AdapterVersion], tuple[float, Seconds]] = field(
         default_factory=dict
     )
-    views_told: dict[tuple[VmId, EndpointId], Seconds] = field(default_factory=dict)
+    views_reported: dict[tuple[VmId, EndpointId], Seconds] = field(default_factory=dict)
     load_time: Seconds = 1.0
-    budget_heard_at: Seconds = 0.0
+    budget_received_at: Seconds = 0.0
     failed_loads: dict[tuple[EndpointId, AdapterVersion], Seconds] = field(
         default_factory=dict
     )
@@ -208,7 +208,7 @@
     now: Seconds
     started_at: Seconds
     last_step: Seconds
-    inbox: deque[Happening] = field(default_factory=deque)
+    inbox: deque[OutsideEvent] = field(default_factory=deque)
     outbox: list[Order] = field(default_factory=list)
     members: MemberTable = field(default_factory=MemberTable)
     config: ConfigTable = field(default_factory=ConfigTable)
--- a/tests/entryrig.py
+++ b/tests/entryrig.py
@@ -5,7 +5,7 @@
 from contextlib import asynccontextmanager
 from dataclasses import dataclass, field, replace
 
-from kestreltally.deployment import Bounds, Listening
+from kestreltally.deployment import Bounds, SocketAddress
 from kestreltally.entry.api import EntryApi
 from kestreltally.entry.gate import Gate
 from kestreltally.entry.health import HealthTable
@@ -289,7 +289,9 @@
     limiter.note_words([])
     api = EntryApi(fleet, relay, Gate(identity, limiter))
     front, ready = reserve_port(), reserve_port()
-    await api.start(Listening("127.0.0.1", front), Listening("127.0.0.1", ready))
+    await api.start(
+        SocketAddress("127.0.0.1", front), SocketAddress("127.0.0.1", ready)
+    )
     try:
         yield EntryRig(fleet, relay, api, front, authority, limiter)
     finally:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -25,7 +25,7 @@
     key_of,
     write_config_object,
 )
-from kestreltally.orders import StopAsked
+from kestreltally.orders import StopRequested
 from kestreltally.peers.messages import Envelope
 from kestreltally.ports import AnswerHead
 from kestreltally.requests.claims import Claims
@@ -186,7 +186,7 @@
         """Stop as planned; return whether nothing was left."""
         self.stopping = True
         world = self.runtime.world
-        self.runtime.post(StopAsked())
+        self.runtime.post(StopRequested())
         loop = asyncio.get_running_loop()
         until = loop.time() + limit
         while loop.time() < until and self.is_up:
--- a/tests/limitsim.py
+++ b/tests/limitsim.py
@@ -17,7 +17,7 @@
 from kestreltally.fleet.limits import Lending, LimitStanding
 from kestreltally.fleet.model import EndpointId
 from kestreltally.placing.turns import Borrower, TurnLender, find_leased_terms
-from kestreltally.rates import Bucket, Pace
+from kestreltally.rates import Bucket, RateMeter
 from tests.virtualtime import VirtualTime
 from tests.windows import WINDOW, count_most
 
@@ -46,7 +46,7 @@
     reported_at: float = -1.0
     reports: bool = False
     waiting: deque[float] = field(default_factory=deque)
-    asked: Pace = field(default_factory=lambda: Pace(1.0, 0.0))
+    asked: RateMeter = field(default_factory=lambda: RateMeter(1.0, 0.0))
     bucket: Bucket = field(default_factory=lambda: Bucket(0.0))
     credit: float = 0.0
 
@@ -137,7 +137,7 @@
 
     def may_send(self, daemon: Daemon) -> bool:
         rate = self.limit / len(self.daemons)
-        return daemon.bucket.take(1, rate, 1.0, self.now)
+        return daemon.bucket.acquire(1, rate, 1.0, self.now)
 
 
 class Shares(Play):
@@ -154,7 +154,7 @@
 
     def may_send(self, daemon: Daemon) -> bool:
         part = daemon.asked.read(self.now) / max(self.total, 1e-9)
-        return daemon.bucket.take(1, min(1.0, part) * self.limit, 1.0, self.now)
+        return daemon.bucket.acquire(1, min(1.0, part) * self.limit, 1.0, self.now)
 
 
 class Ratio(Shares):
--- a/tests/policies.py
+++ b/tests/policies.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True)
-class Figures:
+class RunResult:
     """What one run gave; seconds are virtual."""
 
     policy: str
@@ -65,7 +65,7 @@
         self.received: dict[str, float] = {}
         self.waits: dict[str, float] = {}
         self.loads = 0
-        self.busy = self.together = 0.0
+        self.busy = self.batched = 0.0
 
     def watch(self, node: Node, event: Event) -> None:
         if event.what == "received":
@@ -91,10 +91,10 @@
             for endpoint in self.fleet.endpoints.values():
                 if endpoint.running:
                     self.busy += 1
-                    self.together += len(endpoint.running)
+                    self.batched += len(endpoint.running)
             await asyncio.sleep(0.02)
 
-    async def run(self) -> Figures:
+    async def run(self) -> RunResult:
         fleet = self.fleet
         await fleet.start()
         for endpoint in fleet.endpoints.values():
@@ -118,7 +118,7 @@
         await fleet.close()
         waits = sorted(self.waits.values())
         stalled = [wait for wait in waits if wait > STALLED_AFTER]
-        return Figures(
+        return RunResult(
             policy=self.policy,
             workload=self.workload,
             seed=self.seed,
@@ -128,15 +128,15 @@
             stall_seconds=sum(stalled),
             wait_p95=waits[int(0.95 * len(waits))],
             loads=self.loads,
-            batch_share=self.together / self.busy / 8,
+            batch_share=self.batched / self.busy / 8,
         )
 
 
-def run_policy(case: tuple[str, str, int]) -> Figures:
+def run_policy(case: tuple[str, str, int]) -> RunResult:
     """Run one case under virtual time."""
     logging.disable(logging.WARNING)
 
-    async def run() -> Figures:
+    async def run() -> RunResult:
         return await PolicyRun(*case).run()
 
     return run_virtual(run())
@@ -160,7 +160,7 @@
     for workload in WORKLOADS:
         for policy in policies:
             runs = [f for f in found if (f.workload, f.policy) == (workload, policy)]
-            middle = {
+            medians = {
                 name: statistics.median(getattr(each, name) for each in runs)
                 for name in (
                     "stalls",
@@ -172,9 +172,9 @@
             }
             done = statistics.median(each.done / each.sent for each in runs)
             click.echo(
-                f"| {workload} | {policy} | {done:.3f} | {middle['stalls']:.0f} "
-                f"| {middle['stall_seconds']:.0f} | {middle['wait_p95']:.2f} s "
-                f"| {middle['loads']:.0f} | {middle['batch_share']:.3f} |"
+                f"| {workload} | {policy} | {done:.3f} | {medians['stalls']:.0f} "
+                f"| {medians['stall_seconds']:.0f} | {medians['wait_p95']:.2f} s "
+                f"| {medians['loads']:.0f} | {medians['batch_share']:.3f} |"
             )
 
 
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -4,10 +4,10 @@
 
 # Below the range that the kernel hands out, and above the fixed ports of the demos and
 # the soaks. A block is larger than what the daemons of one short soak use.
-BLOCKS_FROM = 27_000
-BLOCKS_UNTIL = 32_000
+FIRST_BLOCK_PORT = 27_000
+LAST_BLOCK_PORT = 32_000
 BLOCK_PORTS = 49
-_HELD: list[socket.socket] = []
+_RESERVED: list[socket.socket] = []
 
 
 def reserve_port() -> int:
@@ -17,11 +17,11 @@
     for a connection of any process nor for one that asks for any free port, while
     a server of ours, which allows addresses to be used again, can listen at it.
     """
-    held = socket.socket()
-    held.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-    held.bind(("127.0.0.1", 0))
-    _HELD.append(held)
-    port: int = held.getsockname()[1]
+    reserved = socket.socket()
+    reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    reserved.bind(("127.0.0.1", 0))
+    _RESERVED.append(reserved)
+    port: int = reserved.getsockname()[1]
     return port
 
 
@@ -31,13 +31,13 @@
     For processes that count their ports up. A socket bound to the port before the first
     keeps the block until this process ends: another run finds that port taken.
     """
-    for keeper in range(BLOCKS_FROM, BLOCKS_UNTIL, 1 + BLOCK_PORTS):
-        held = socket.socket()
+    for guard_port in range(FIRST_BLOCK_PORT, LAST_BLOCK_PORT, 1 + BLOCK_PORTS):
+        reserved = socket.socket()
         try:
-            held.bind(("127.0.0.1", keeper))
+            reserved.bind(("127.0.0.1", guard_port))
         except OSError:
-            held.close()
+            reserved.close()
             continue
-        _HELD.append(held)
-        return keeper + 1
+        _RESERVED.append(reserved)
+        return guard_port + 1
     raise AssertionError("all blocks of ports are taken")
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -18,7 +18,12 @@
 from kestreltally.knowledge.watch_handlers import EndpointsHandler, VersionsHandler
 from kestreltally.platform.documents import MalformedDocument, decode_endpoint
 from kestreltally.platform.engines import decode_report
-from kestreltally.platform.store import Listing, StoredObject, read_listed, read_page
+from kestreltally.platform.store import (
+    Listing,
+    StoredObject,
+    decode_objects,
+    decode_page,
+)
 
 GOOD = {
     "Service": "models",
@@ -119,7 +124,7 @@
     malformed = {"Metadata": {"Name": "i-1", "Revision": 2}, "Specification": "?"}
     page = {"items": [good, malformed, {"Metadata": None}, 5], "CurrentRev": 3}
     content = json.dumps(page).encode().replace(b'"?"', b'"\xff\xfe\x01"')
-    listed = read_listed(read_page("GET servers", content)["items"])
+    listed = decode_objects(decode_page("GET servers", content)["items"])
     assert [each.name for each in listed] == ["i-0", "i-1"]
     applied = apply_entries([each.content for each in listed])
     assert [each.id for each in applied] == [EndpointId("i-0")]
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -9,7 +9,7 @@
 
 from aiohttp import web
 
-from kestreltally.deployment import Deployment, Listening, Strength
+from kestreltally.deployment import Deployment, MachineCapacity, SocketAddress
 from kestreltally.fleet_daemon import FleetDaemon
 from kestreltally.knowledge.structs import LeaseRow, Update
 from kestreltally.logs import LineWriter
@@ -88,7 +88,7 @@
         self.store_port = reserve_port()
         self.engines: list[PlatformEngine] = []
         self.daemons: dict[str, FleetDaemon] = {}
-        self.fronts: dict[str, int] = {}
+        self.client_ports: dict[str, int] = {}
         self._runners: list[web.AppRunner] = []
 
     async def serve(self, app: web.Application, port: int) -> web.AppRunner:
@@ -114,27 +114,27 @@
     async def add_daemon(
         self, vm: str, data_centre: str, *, first_start: bool = False
     ) -> FleetDaemon:
-        front = reserve_port()
+        client_port = reserve_port()
         deployment = Deployment(
             vm=vm,
             data_centre=data_centre,
             data_centres=DATA_CENTRES,
-            clients=Listening("127.0.0.1", front),
-            readiness=Listening("127.0.0.1", reserve_port()),
-            peers=Listening("127.0.0.1", reserve_port()),
+            clients=SocketAddress("127.0.0.1", client_port),
+            readiness=SocketAddress("127.0.0.1", reserve_port()),
+            peers=SocketAddress("127.0.0.1", reserve_port()),
             metrics_port=reserve_port(),
-            store=Listening("127.0.0.1", self.store_port),
-            strength=Strength(cores=1.0, link_mbps=1000.0),
+            store=SocketAddress("127.0.0.1", self.store_port),
+            machine_capacity=MachineCapacity(cores=1.0, link_mbps=1000.0),
             bounds=BOUNDS,
             first_start=first_start,
         )
         daemon = FleetDaemon(deployment, LineWriter(io.StringIO(), vm))
         await daemon.start()
         self.daemons[vm] = daemon
-        self.fronts[vm] = front
+        self.client_ports[vm] = client_port
         return daemon
 
-    async def fill(self, count: int) -> None:
+    async def add_daemons_up_to(self, count: int) -> None:
         """Add daemons, by data centres in turn, until there are so many."""
         while (number := len(self.daemons)) < count:
             zone = DATA_CENTRES[number % len(DATA_CENTRES)]
@@ -148,7 +148,9 @@
     async def post(
         self, vm: str, path: str, body: bytes, adapter: str, request_id: str
     ) -> Reply:
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.fronts[vm])
+        reader, writer = await asyncio.open_connection(
+            "127.0.0.1", self.client_ports[vm]
+        )
         model = f"X-Model-Name: {MODEL}/{adapter}\r\n" if adapter else ""
         head = (
             f"POST {path} HTTP/1.1\r\nHost: shop.example\r\n{model}"
@@ -192,7 +194,7 @@
         await rig.close()
 
 
-def read_runs(reply: Reply) -> set[str]:
+def read_versions(reply: Reply) -> set[str]:
     lines = [line for line in reply.body.decode().splitlines() if "data:" in line]
     return {json.loads(line.partition("data:")[2])["ran"] for line in lines}
 
@@ -210,7 +212,7 @@
         )
         for name, reply in zip(names, replies, strict=True):
             if reply.status == 200:
-                assert reply.whole and read_runs(reply) == {f"{name}@1"}
+                assert reply.whole and read_versions(reply) == {f"{name}@1"}
         assert sum(reply.status == 200 for reply in replies) >= 8
         assert all(each.falls == 0 for each in rig.engines)
         assert all(max(each.runs.values(), default=1) == 1 for each in rig.engines)
@@ -243,19 +245,19 @@
         await rig.close()
 
 
-async def test_a_newer_configuration_and_version_are_soon_in_force() -> None:
+async def test_a_new_configuration_and_version_take_effect_quickly() -> None:
     async with run_fleet() as rig:
         await rig.store.put("config", "main", make_configuration(4, "/b/"))
         for vm in rig.daemons:
             assert await rig.ask_until(vm, "/b/x", 200, 2.0) < 1.0
             assert (await rig.ask(vm, "/a/x")).status == 404
-        assert read_runs(await rig.ask("north-1", "/m/x", "a1")) == {"a1@1"}
+        assert read_versions(await rig.ask("north-1", "/m/x", "a1")) == {"a1@1"}
         for engine in rig.engines:
             engine.newest["a1"] = 2
         version = {"Model": MODEL, "Adapter": "a1", "Version": 2}
         await rig.store.put("versions", f"{MODEL}.a1", version)
         await asyncio.sleep(1.5)
-        assert read_runs(await rig.ask("north-1", "/m/x", "a1")) == {"a1@2"}
+        assert read_versions(await rig.ask("north-1", "/m/x", "a1")) == {"a1@2"}
 
 
 async def test_a_leaving_endpoint_gets_no_new_work() -> None:
@@ -270,14 +272,14 @@
         assert sum(first.runs.values()) == before
 
 
-async def test_a_lost_leader_is_followed_and_its_callers_served() -> None:
+async def test_requests_are_served_after_a_leader_is_lost() -> None:
     async with run_fleet() as rig:
         await rig.add_daemon("north-2", "north")
         await asyncio.sleep(0.5)
         leader = rig.daemons.pop("north-1")
         await leader.close()
         reply = await rig.ask("north-2", "/m/x", "a7")
-        assert reply.whole and read_runs(reply) == {"a7@1"}
+        assert reply.whole and read_versions(reply) == {"a7@1"}
         for engine in rig.engines:
             numbers = [fence for _, fence in engine.holders]
             assert numbers == sorted(numbers)
@@ -287,14 +289,14 @@
     async with run_fleet() as rig:
         for engine in rig.engines:
             engine.load_time = 60.0 if engine.zone == "north" else 0.1
-        asking = asyncio.create_task(rig.ask("north-1", "/m/x", "a7"))
+        pending_request = asyncio.create_task(rig.ask("north-1", "/m/x", "a7"))
         await asyncio.sleep(0.3)
         assert any("a7" in engine.loading for engine in rig.engines)
         await rig.daemons.pop("north-1").close()
-        await asyncio.gather(asking, return_exceptions=True)
+        await asyncio.gather(pending_request, return_exceptions=True)
         await asyncio.sleep(0.8)
         reply = await rig.ask("south-1", "/m/x", "a7")
-        assert reply.whole and read_runs(reply) == {"a7@1"}
+        assert reply.whole and read_versions(reply) == {"a7@1"}
 
 
 async def test_a_follower_of_a_leader_that_lost_the_store_follows_another() -> None:
@@ -312,7 +314,7 @@
         assert follower._store.calls == calls
 
 
-async def test_a_leader_that_knows_no_endpoint_takes_none_away() -> None:
+async def test_an_empty_update_of_a_new_leader_removes_no_endpoints() -> None:
     async with run_fleet() as rig:
         exchange = rig.daemons["north-1"]._exchange
         known = set(exchange._fleet.endpoints)
@@ -322,7 +324,7 @@
         assert known and set(exchange._fleet.endpoints) == known
 
 
-async def test_the_store_may_go_away_and_come_back() -> None:
+async def test_requests_are_served_during_and_after_a_store_outage() -> None:
     async with run_fleet() as rig:
         assert (await rig.ask("north-1", "/m/x", "a1")).whole
         rig.store.faults.set(down=True)
@@ -337,7 +339,7 @@
 async def test_daemons_are_counted_once_while_the_store_is_away() -> None:
     # Guards against parts of a bound that shrink, for several leaders count a daemon.
     async with run_fleet() as rig:
-        await rig.fill(6)
+        await rig.add_daemons_up_to(6)
         await asyncio.sleep(1.0)
         rig.store.faults.set(down=True)
         await asyncio.sleep(3.0)
@@ -345,18 +347,18 @@
             assert daemon._read_gauges()["daemons_known"] == {"feed": 6}
 
 
-async def test_a_planned_stop_answers_what_it_took() -> None:
+async def test_a_planned_stop_answers_accepted_requests() -> None:
     async with run_fleet() as rig:
-        asking = asyncio.create_task(rig.ask("north-1", "/m/x", "a1"))
+        pending_request = asyncio.create_task(rig.ask("north-1", "/m/x", "a1"))
         await asyncio.sleep(0.05)
         daemon = rig.daemons["north-1"]
         stopping = asyncio.create_task(daemon.stop())
-        assert (await asking).whole
+        assert (await pending_request).whole
         assert (await rig.ask("north-1", "/a/x")).headers["connection"] == "close"
         await asyncio.wait_for(stopping, BOUNDS.grace)
 
 
-async def test_engines_where_no_daemon_stands_are_led_from_elsewhere() -> None:
+async def test_engines_in_a_data_centre_without_daemons_are_led_from_another() -> None:
     rig = FleetRig()
     await rig.serve(make_store_app(rig.store), rig.store_port)
     await rig.store.put("config", "main", make_configuration(1, "/a/"))
@@ -365,6 +367,6 @@
     try:
         await asyncio.sleep(6.0)
         reply = await rig.ask("north-1", "/m/x", "a1")
-        assert reply.whole and read_runs(reply) == {"a1@1"}
+        assert reply.whole and read_versions(reply) == {"a1@1"}
     finally:
         await rig.close()
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -28,7 +28,7 @@
     ConfigurationReader,
 )
 from kestreltally.platform.documents import MalformedDocument, decode_configuration
-from kestreltally.platform.store import REWRITTEN_WITHIN, StoredObject, StoreError
+from kestreltally.platform.store import REWRITE_WINDOW, StoredObject, StoreError
 from kestreltally.quotas.spending import Word
 from tests.clocks import ManualClock
 from tests.entryrig import (
@@ -258,7 +258,7 @@
         self._clock = clock
         self._takes = takes
         self.fails = False
-        self.copied_at = float("-inf")
+        self.restored_at = float("-inf")
 
     async def read(self, kind: str, name: str) -> StoredObject:
         if self.fails:
@@ -281,10 +281,10 @@
     authority = Authority(BOUND, clock)
     store = SlowStore(clock, 0.01)
     reader = make_reader(store, authority, lambda _: True)
-    store.copied_at = clock.now - REWRITTEN_WITHIN / 2
+    store.restored_at = clock.now - REWRITE_WINDOW / 2
     await reader.read()
     assert not authority.check()
-    clock.now += REWRITTEN_WITHIN
+    clock.now += REWRITE_WINDOW
     await reader.read()
     assert authority.check()
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from kestreltally.deployment import Listening
+from kestreltally.deployment import SocketAddress
 from kestreltally.placing.lease import (
     ORDER_TRANSIT,
     TAKE_AFTER,
@@ -17,11 +17,11 @@
 )
 from kestreltally.placing.leaseboard import READ_INTERVAL, LeaseBoard
 from kestreltally.platform.store import (
-    NO_ERA,
+    UNKNOWN_ERA,
     Conflict,
-    EraPassed,
     Listing,
     Revision,
+    StaleEra,
     StoredObject,
     StoreError,
 )
@@ -67,13 +67,13 @@
         self.down = False
         self.loses_answers = False
         self.latency = 0.004
-        self.era = NO_ERA
-        self.copied_at = float("-inf")
+        self.era = UNKNOWN_ERA
+        self.restored_at = float("-inf")
         self.calls = 0
 
-    def _note_era(self) -> None:
-        if self.era not in (NO_ERA, self._store.era):
-            self.copied_at = asyncio.get_running_loop().time()
+    def _record_era(self) -> None:
+        if self.era not in (UNKNOWN_ERA, self._store.era):
+            self.restored_at = asyncio.get_running_loop().time()
         self.era = self._store.era
 
     async def _cross(self) -> None:
@@ -82,7 +82,7 @@
         await asyncio.sleep(self.latency)
         if self.down or swallowed:
             raise StoreError("down")
-        self._note_era()
+        self._record_era()
 
     async def list_objects(self, kind: str) -> Listing:
         await self._cross()
@@ -103,7 +103,7 @@
         self, kind: str, name: str, revision: Revision, content: Any
     ) -> StoredObject:
         if revision.era != self.era:
-            raise EraPassed("before")
+            raise StaleEra("before")
         await self._cross()
         current = self._store.objects.get(name)
         # The store compares numbers only: it is told no era.
@@ -111,7 +111,7 @@
             raise Conflict(current)
         written = self._write(name, content)
         if revision.era != self._store.era:
-            raise EraPassed("meanwhile")
+            raise StaleEra("meanwhile")
         return written
 
     def _write(self, name: str, content: Any) -> StoredObject:
@@ -156,7 +156,7 @@
         view,  # type: ignore[arg-type]
         vm,
         boot or f"{vm}-boot",
-        Listening("127.0.0.1", 1),
+        SocketAddress("127.0.0.1", 1),
         APART,
         asyncio.get_running_loop().time,
         DATA_CENTRE,
--- a/tests/test_limit_table.py
+++ b/tests/test_limit_table.py
@@ -16,7 +16,7 @@
 from kestreltally.fleet.model import SILENT, EndpointId, KnownNotice, Notice
 from kestreltally.fleet.notices import FOR_EVER, RETENTION, NoticeTable, NotWanted
 from kestreltally.placing.turns import Borrower, TurnLender, find_leased_terms
-from kestreltally.platform.headers import list_unread, read_notice
+from kestreltally.platform.headers import list_unrecognised, read_notice
 from tests.limitsim import play
 from tests.test_notice_table import ENDPOINT, LEAVING, NOW, REBORN, RESTING
 from tests.windows import WINDOW
@@ -54,7 +54,7 @@
     for status in (200, 421, 500, 503):
         expected = Notice(leaves=False, rest=0.0, limit=limit, unclear=unclear)
         assert read_notice(status, headers) == expected
-    assert list_unread(200, headers) == []
+    assert list_unrecognised(200, headers) == []
 
 
 def test_what_cannot_be_read_neither_begins_nor_ends_a_limit() -> None:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -29,7 +29,7 @@
 @asynccontextmanager
 async def run_daemons(count: int) -> AsyncIterator[FleetRig]:
     async with run_fleet() as rig:
-        await rig.fill(count)
+        await rig.add_daemons_up_to(count)
         await asyncio.sleep(1.0)
         yield rig
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -12,9 +12,15 @@
 from click.testing import CliRunner
 
 from kestreltally.cli.logs import logs
-from kestreltally.decisions import COUNTS, FIELDS, Decision, Thinner, log_decision
+from kestreltally.decisions import (
+    COUNTS,
+    FIELDS,
+    Decision,
+    LogRateLimiter,
+    log_decision,
+)
 from kestreltally.fleet.model import RequestKind
-from kestreltally.logs import LINES_WAITING, LineWriter
+from kestreltally.logs import MAX_QUEUED_LINES, LineWriter
 from kestreltally.timeline.loglines import (
     LogLine,
     count_causes,
@@ -40,7 +46,7 @@
     assert f"`{decision.text}`" in page
 
 
-def test_no_line_of_the_platforms_way_is_outside_the_catalogue() -> None:
+def test_platform_daemon_logs_only_catalogued_decisions() -> None:
     parts = ("entry", "knowledge", "placing", "fleet", "platform", "poison")
     for part in parts:
         for path in (SOURCES / part).glob("*.py"):
@@ -67,7 +73,7 @@
         (stay_silent, Decision.REQUEST_REFUSED, 1),
     ],
 )
-async def test_every_request_ends_with_a_line_that_tells_its_way(
+async def test_every_request_ends_with_a_line_that_contains_its_trail(
     script: object, event: Decision, trail: int, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
@@ -81,13 +87,13 @@
     assert isinstance(line["trail"], list) and len(line["trail"]) >= trail
 
 
-def test_a_kind_is_thinned_and_what_is_left_out_is_told() -> None:
-    thinner = Thinner()
-    kept = sum(thinner.keeps(Decision.REQUEST_DONE, 1.0) for _ in range(500))
+def test_lines_above_the_rate_are_suppressed_and_counted() -> None:
+    limiter = LogRateLimiter()
+    kept = sum(limiter.allows(Decision.REQUEST_DONE, 1.0) for _ in range(500))
     assert kept == Decision.REQUEST_DONE.lines_per_second
-    assert thinner.take_left_out() == {"request_done": 500 - kept}
-    assert thinner.keeps(Decision.REQUEST_DONE, 2.0)
-    assert thinner.keeps(Decision.REQUEST_REFUSED, 1.0)
+    assert limiter.pop_suppressed() == {"request_done": 500 - kept}
+    assert limiter.allows(Decision.REQUEST_DONE, 2.0)
+    assert limiter.allows(Decision.REQUEST_REFUSED, 1.0)
 
 
 class BlockedStream(io.StringIO):
@@ -102,7 +108,7 @@
         return super().write(text)
 
 
-def test_a_blocked_output_holds_nobody_up_and_drops_are_counted() -> None:
+def test_a_blocked_output_does_not_block_callers_and_drops_are_counted() -> None:
     stream = BlockedStream()
     writer = LineWriter(stream, "vm-1")
     logger = logging.getLogger("test.blocked")
@@ -112,19 +118,19 @@
     logger.info("first")
     time.sleep(0.2)
     began = time.monotonic()
-    for number in range(LINES_WAITING + 100):
+    for number in range(MAX_QUEUED_LINES + 100):
         logger.info("line", extra={FIELDS: {"number": number}})
     assert time.monotonic() - began < 1.0
-    assert writer.take_dropped() == 100
+    assert writer.pop_dropped() == 100
     stream.released.set()
     writer.close()
     time.sleep(0.3)
     lines = [json.loads(text) for text in stream.getvalue().splitlines()]
     assert lines[0]["event"] == "first" and lines[0]["vm"] == "vm-1"
-    assert lines[-1]["number"] == LINES_WAITING - 1
+    assert lines[-1]["number"] == MAX_QUEUED_LINES - 1
 
 
-def test_decisions_are_counted_also_when_thinned() -> None:
+def test_decisions_are_counted_even_if_their_lines_are_suppressed() -> None:
     before = COUNTS[Decision.HISTORY_GONE]
     for _ in range(50):
         log_decision(logging.getLogger("test"), Decision.HISTORY_GONE, kind="x")
@@ -153,7 +159,7 @@
     assert "leader lost" in explanation.nearby[0]
 
 
-STOPPED = """
+STOPPED_REQUEST_LINES = """
 {"at": 1.0, "vm": "b", "event": "poison: endpoint ended under requests", \
 "endpoint": "e1", "content": ["c0ffee", "beef"]}
 {"at": 1.5, "vm": "b", "event": "poison: endpoint ended under requests", \
@@ -164,8 +170,10 @@
 """
 
 
-def test_what_other_daemons_saw_of_a_stopped_request_is_told() -> None:
-    explanation = explain_request(read_lines([io.StringIO(STOPPED)]), "q1")
+def test_lines_of_other_daemons_about_stopped_content_are_listed() -> None:
+    explanation = explain_request(
+        read_lines([io.StringIO(STOPPED_REQUEST_LINES)]), "q1"
+    )
     assert explanation is not None
     assert [line.partition(" {")[0] for line in explanation.nearby] == [
         "1.000 b: poison: endpoint ended under requests",
@@ -183,7 +191,7 @@
     assert CliRunner().invoke(logs, ["explain", "zz", str(path)]).exit_code == 1
 
 
-def test_what_was_not_served_is_counted_by_cause_whichever_adapter_it_befell() -> None:
+def test_causes_are_counted_across_adapters() -> None:
     ends = [
         {"reason": "base/a1 is not loaded", "weights": "base/a1"},
         {"reason": "base/a2 is not loaded", "weights": "base/a2"},
--- a/tests/test_notice_table.py
+++ b/tests/test_notice_table.py
@@ -24,7 +24,7 @@
     NoticeTable,
     NotWanted,
 )
-from kestreltally.platform.headers import REST_MOST, read_notice
+from kestreltally.platform.headers import MAX_BACKOFF, read_notice
 
 ENDPOINT = Endpoint(
     id=EndpointId("e1"),
@@ -61,7 +61,7 @@
         (["1_0"], 0.0),
         (["٣"], 0.0),
         (["Wed, 21 Oct 2026 07:28:00 GMT"], 0.0),
-        (["999999999"], REST_MOST),
+        (["999999999"], MAX_BACKOFF),
         (["9" * 400], 0.0),
         (["1", "4", "2"], 4.0),
         (["1, 4"], 4.0),
@@ -80,7 +80,7 @@
     headers = CIMultiDict([("Retry-After", value) for value in values])
     headers["Server-Leaving"] = leaving
     notice = read_notice(503, headers)
-    assert 0.0 <= notice.rest <= REST_MOST
+    assert 0.0 <= notice.rest <= MAX_BACKOFF
     assert notice.leaves == (leaving.strip() == "1")
 
 
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -211,7 +211,7 @@
 
 async def test_all_daemons_heed_an_endpoints_word_soon() -> None:
     async with run_fleet() as rig:
-        await rig.fill(8)
+        await rig.add_daemons_up_to(8)
         await asyncio.sleep(1.0)
         engine = next(each for each in rig.engines if not each.model)
         engine.says_leaving = True
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -8,13 +8,13 @@
 from tests.ports import BLOCK_PORTS, claim_ports, reserve_port
 
 
-def test_a_reserved_port_is_given_to_nobody_else() -> None:
+def test_a_reserved_port_is_not_assigned_again() -> None:
     port = reserve_port()
     with socket.socket() as other, pytest.raises(OSError):
         other.bind(("127.0.0.1", port))
 
 
-def test_a_server_listens_at_a_reserved_port_again_and_again() -> None:
+def test_a_server_can_listen_repeatedly_on_a_reserved_port() -> None:
     async def listen(port: int) -> None:
         server = await asyncio.start_server(lambda *_: None, "127.0.0.1", port)
         _, writer = await asyncio.open_connection("127.0.0.1", port)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -11,7 +11,7 @@
 from kestreltally.quotas.ledger import FREE_PART, Ledger
 from kestreltally.quotas.limiters import DEFAULT, LIMITERS, WORD_LIFE
 from kestreltally.quotas.spending import Spending, SpendingCounter, Word
-from kestreltally.rates import Bucket, Pace
+from kestreltally.rates import Bucket, RateMeter
 from tests.clocks import ManualClock
 from tests.quotasim import LOADS, NAME, Load, Simulation
 
@@ -275,13 +275,13 @@
 
 def test_a_bucket_may_be_overdrawn_by_one_request() -> None:
     bucket = Bucket(at=0.0)
-    assert bucket.take(5_000, rate=100.0, depth=100.0, now=0.0)
-    assert not bucket.take(1, rate=100.0, depth=100.0, now=40.0)
-    assert bucket.take(1, rate=100.0, depth=100.0, now=51.0)
+    assert bucket.acquire(5_000, rate=100.0, depth=100.0, now=0.0)
+    assert not bucket.acquire(1, rate=100.0, depth=100.0, now=40.0)
+    assert bucket.acquire(1, rate=100.0, depth=100.0, now=51.0)
 
 
 def test_a_pace_is_the_mean_of_what_comes() -> None:
-    pace = Pace(time=0.5, at=0.0, began=0.0)
+    pace = RateMeter(time_constant=0.5, at=0.0, started_at=0.0)
     for step in range(1, 200):
         pace.add(10.0, step * 0.01)
     assert pace.read(2.0) == pytest.approx(1_000.0, rel=0.05)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -8,16 +8,16 @@
 from click.testing import CliRunner
 
 from kestreltally.daemon import main
-from kestreltally.settings import BadSettings, check_settings, load_settings
+from kestreltally.settings import InvalidSettings, check_settings, load_settings
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "kestreltallyd.yaml"
 
 
-def test_the_example_is_good() -> None:
+def test_the_example_is_valid() -> None:
     assert load_settings(EXAMPLE).placement.loads_at_once == 4
 
 
-BAD = {
+INVALID = {
     "unknown key": ({"colour": 1}, "colour: unknown key"),
     "unknown key inside": ({"timing": {"tok": 1}}, "timing.tok: unknown key"),
     "wrong type": ({"data_centre": 3}, "data_centre = 3"),
@@ -30,9 +30,9 @@
 }
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_bad_settings_name_the_place(name: str, tmp_path: Path) -> None:
-    changes, expected = BAD[name]
+@pytest.mark.parametrize("name", INVALID)
+def test_errors_name_the_invalid_key(name: str, tmp_path: Path) -> None:
+    changes, expected = INVALID[name]
     plain: dict[str, Any] = yaml.safe_load(EXAMPLE.read_text())
     path = tmp_path / "bad.yaml"
     path.write_text(yaml.safe_dump({**plain, **changes}))
@@ -43,18 +43,18 @@
 
 
 @pytest.mark.parametrize("text", ["- a list", "{", ""])
-def test_what_is_no_mapping_is_refused(text: str, tmp_path: Path) -> None:
+def test_a_file_without_a_mapping_is_rejected(text: str, tmp_path: Path) -> None:
     path = tmp_path / "bad.yaml"
     path.write_text(text)
-    with pytest.raises(BadSettings, match="bad.yaml"):
+    with pytest.raises(InvalidSettings, match="bad.yaml"):
         load_settings(path)
 
 
 def test_a_missing_file_is_named() -> None:
-    with pytest.raises(BadSettings, match=r"/nowhere\.yaml: cannot be read"):
+    with pytest.raises(InvalidSettings, match=r"/nowhere\.yaml: cannot be read"):
         load_settings(Path("/nowhere.yaml"))
 
 
 def test_missing_key_is_named() -> None:
-    with pytest.raises(BadSettings, match="data_centre"):
+    with pytest.raises(InvalidSettings, match="data_centre"):
         check_settings({"vm": "a"}, "x")
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -5,12 +5,12 @@
 import pytest
 from aiohttp import web
 
-from kestreltally.deployment import Listening
+from kestreltally.deployment import SocketAddress
 from kestreltally.platform.store import (
-    NO_ERA,
+    UNKNOWN_ERA,
     Conflict,
-    EraPassed,
     Revision,
+    StaleEra,
     Store,
     StoreError,
     open_store_session,
@@ -46,7 +46,7 @@
         await self._runner.setup()
         await web.TCPSite(self._runner, "127.0.0.1", port).start()
         self._session = open_store_session()
-        self.client = Store(self._session, Listening("127.0.0.1", port))
+        self.client = Store(self._session, SocketAddress("127.0.0.1", port))
         return self
 
     async def __aexit__(self, *_: object) -> None:
@@ -60,11 +60,11 @@
         backup = rig.server.copy()
         await rig.server.restore(backup)
         assert await rig.client.read("k", "n")
-        assert rig.client.copied_at > 0
+        assert rig.client.restored_at > 0
         calls = rig.client.calls
-        with pytest.raises(EraPassed):
+        with pytest.raises(StaleEra):
             await rig.client.replace("k", "n", mine.revision, {})
-        with pytest.raises(EraPassed):
+        with pytest.raises(StaleEra):
             await rig.client.watch("k", mine.revision, 0.1)
         assert rig.client.calls == calls
 
@@ -77,7 +77,7 @@
         # The revision is assigned again, to another writer's object of the same name.
         await rig.server.restore(backup)
         await rig.server.put("k", "n", {"by": "another"})
-        with pytest.raises(EraPassed):
+        with pytest.raises(StaleEra):
             await rig.client.replace("k", "n", mine.revision, {"by": "me"})
 
 
@@ -99,11 +99,11 @@
     async with StoreRig() as rig:
         await rig.client.list_objects("k")
         assert rig.client.era == 0
-        assert rig.client.copied_at == float("-inf")
+        assert rig.client.restored_at == float("-inf")
         await rig.server.restore(rig.server.copy())
         await rig.client.list_objects("k")
         assert rig.client.era == 1
-        assert rig.client.copied_at > 0
+        assert rig.client.restored_at > 0
 
 
 async def test_late_response_of_older_era_is_rejected() -> None:
@@ -120,8 +120,8 @@
     async with StoreRig() as rig:
         rig.server.era = -1
         written = await rig.client.create("k", "n", {})
-        assert written.revision.era == NO_ERA
+        assert written.revision.era == UNKNOWN_ERA
         assert await rig.client.replace("k", "n", written.revision, {"a": 1})
-        changes = await rig.client.watch("k", Revision(NO_ERA, 0), 0.1)
+        changes = await rig.client.watch("k", Revision(UNKNOWN_ERA, 0), 0.1)
         assert len(changes.changes) == 2
-        assert rig.client.copied_at == float("-inf")
+        assert rig.client.restored_at == float("-inf")
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -8,7 +8,7 @@
 
 
 def test_the_ring_is_bounded() -> None:
-    line = Timeline("vm-0", 1, limit=3, wall=lambda: 1.0)
+    line = Timeline("vm-0", 1, limit=3, wall_clock=lambda: 1.0)
     for number in range(10):
         line.add("part", f"event {number}")
     kept = [event.what for event in line.select(EventFilter())]
@@ -16,8 +16,8 @@
 
 
 def test_an_effect_comes_after_its_cause_though_the_clocks_differ() -> None:
-    fast = Timeline("vm-fast", 1, limit=10, wall=lambda: 100.0)
-    slow = Timeline("vm-slow", 1, limit=10, wall=lambda: 90.0)
+    fast = Timeline("vm-fast", 1, limit=10, wall_clock=lambda: 100.0)
+    slow = Timeline("vm-slow", 1, limit=10, wall_clock=lambda: 90.0)
     fast.add("part", "cause")
     slow.observe(fast.stamp())
     slow.add("part", "effect")
@@ -25,8 +25,8 @@
     assert [event.what for event in merge_events(events)] == ["cause", "effect"]
 
 
-def test_a_far_wrong_clock_does_not_spread() -> None:
-    line = Timeline("vm-0", 1, limit=10, wall=lambda: 100.0)
+def test_a_stamp_far_in_the_future_is_ignored() -> None:
+    line = Timeline("vm-0", 1, limit=10, wall_clock=lambda: 100.0)
     line.observe(1e9)
     assert line.add("part", "event").stamp < 200.0
 
@@ -36,14 +36,14 @@
 )
 
 
-def test_filters_know_names_with_and_without_caller_and_version() -> None:
+def test_filters_match_with_and_without_caller_and_version() -> None:
     assert EventFilter(request="r1", adapter="a").passes(EVENT)
     assert EventFilter(request="till:r1", adapter="a@1").passes(EVENT)
     assert not EventFilter(request="r").passes(EVENT)
     assert not EventFilter(vm="vm-1").passes(EVENT)
 
 
-def make_story() -> list[Event]:
+def make_events() -> list[Event]:
     steps = [
         ("request", "received", "engine-0", "revision 7"),
         ("entry", "asks for a permit", "engine-0", "would have to load it"),
@@ -67,19 +67,19 @@
 
 
 def test_a_request_is_explained_with_the_loads_it_waited_for() -> None:
-    sentences = explain_request(make_story(), "r1")
+    sentences = explain_request(make_events(), "r1")
     assert len(sentences) == 4
     assert "engine-0 did not hold a@1" in sentences[2]
     assert not any("engine-9" in sentence for sentence in sentences)
 
 
-def test_an_unknown_request_is_said_to_be_unknown() -> None:
-    (sentence,) = explain_request(make_story(), "r2")
+def test_an_unknown_request_is_reported_as_unknown() -> None:
+    (sentence,) = explain_request(make_events(), "r2")
     assert "'r2'" in sentence
 
 
 def test_the_trace_has_a_span_for_each_request() -> None:
-    trace = export_trace(make_story())["traceEvents"]
+    trace = export_trace(make_events())["traceEvents"]
     (span,) = [each for each in trace if each["ph"] == "X"]
     assert span["dur"] == 4e6 and span["name"] == "till:r1"
 
--- a/tests/test_unread.py
+++ b/tests/test_unread.py
@@ -4,18 +4,20 @@
 
 from kestreltally.decisions import COUNTS, Decision
 from kestreltally.fleet.unread import NAMES_MOST, OTHERS, UnreadWords
-from kestreltally.platform.headers import list_unread
+from kestreltally.platform.headers import list_unrecognised
 
 
 def test_a_header_of_the_family_that_nobody_reads_is_named() -> None:
     headers = CIMultiDict(
         [("Server-Mood", "low"), ("server-leaving", "1"), ("Server", "x"), ("A", "b")]
     )
-    assert list_unread(200, headers) == ["server-mood"]
+    assert list_unrecognised(200, headers) == ["server-mood"]
 
 
 def test_a_status_without_a_meaning_is_named() -> None:
-    named = {status: list_unread(status, {}) for status in (200, 421, 503, 302, 600)}
+    named = {
+        status: list_unrecognised(status, {}) for status in (200, 421, 503, 302, 600)
+    }
     assert named == {
         200: [],
         421: [],
