--- a/src/kestreltally/daemon.py
+++ b/src/kestreltally/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon ``kestreltallyd``: reads its settings and wires the parts together."""
+"""The daemon ``kestreltallyd``: reads its settings and wires its components."""
 
 import asyncio
 import logging
@@ -56,7 +56,7 @@
 def make_world(
     settings: Settings, now: Seconds, wall_clock: Callable[[], float]
 ) -> World:
-    """Return the empty tables of a daemon that starts now."""
+    """Return the empty tables of a daemon that is starting."""
     incarnation = int(wall_clock() * MILLISECONDS)
     identity = Identity(
         vm=VmId(settings.vm),
@@ -121,7 +121,7 @@
         self._sweep_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen on all sides; raises ``OSError`` when an address is taken."""
+        """Listen on all addresses; raises ``OSError`` if one is in use."""
         settings = self._settings
         await self._peers.start(settings.peers.host, settings.peers.port)
         await _listen(self._operators_runner, settings.operators)
@@ -133,7 +133,7 @@
         )
 
     async def _sweep_claims(self) -> None:
-        """Delete old claims, while that is this daemon's duty."""
+        """Delete expired claims periodically, while this daemon owns that duty."""
         while True:
             await asyncio.sleep(SWEEP_PERIOD)
             world = self._runtime.world
@@ -142,15 +142,15 @@
             try:
                 retention = self._settings.limits.claim_retention
                 deleted = await self._claims.sweep(retention)
-                LOG.info("daemon: %d old claims deleted", deleted)
+                LOG.info("daemon: deleted %d expired claims", deleted)
             except Exception as error:
-                LOG.warning("daemon: claims not swept: %s", error)
+                LOG.warning("daemon: expired claims not deleted: %s", error)
 
     async def run_until(self, stop: asyncio.Event) -> bool:
-        """Serve until asked to stop, then stop as planned.
+        """Serve until a stop is requested, then stop gracefully.
 
-        Return false when a task of the runtime failed: a daemon whose tick is
-        dead must go, for its replacement starts clean.
+        Return False if a task of the runtime failed: a daemon without a running tick
+        must exit, so that its replacement starts from a clean state.
         """
         stop_requested = asyncio.create_task(stop.wait())
         failed = asyncio.create_task(self._runtime.failed.wait())
@@ -165,7 +165,7 @@
         return succeeded
 
     async def stop(self) -> None:
-        """Stop as planned: hand over, finish what runs, then go."""
+        """Stop gracefully: hand over leadership, and finish running requests."""
         world = self._runtime.world
         LOG.info("daemon: planned stop begins")
         self._operators.ready = False
@@ -187,7 +187,7 @@
         )
 
     async def close(self) -> None:
-        """Let go of everything."""
+        """Close all connections and cancel all tasks."""
         if self._sweep_task is not None:
             self._sweep_task.cancel()
         await self._callers_runner.cleanup()
@@ -204,13 +204,13 @@
 
 
 async def run_daemon(settings: Settings) -> int:
-    """Run until a signal; return the exit status. A second signal ends at once."""
+    """Run until a signal; return the exit status. A second signal exits immediately."""
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
 
     def handle_signal() -> None:
         if stop.is_set():
-            LOG.warning("daemon: second signal, ends at once")
+            LOG.warning("daemon: second signal, exiting immediately")
             sys.exit(1)
         stop.set()
 
@@ -230,7 +230,10 @@
 
 
 def read_checked_settings(path: Path) -> Settings:
-    """Return the settings of a file, policies included; raises ``InvalidSettings``."""
+    """Return the settings of a file, with the policy's name checked.
+
+    Raises ``InvalidSettings``.
+    """
     settings = load_settings(path)
     try:
         require_policy(settings.placement.policy)
--- a/src/kestreltally/decisions.py
+++ b/src/kestreltally/decisions.py
@@ -1,8 +1,9 @@
-"""The catalogue of what is logged: one line for each decision, with its inputs.
+"""The catalogue of log lines: one line per decision, with the inputs of the decision.
 
-docs/OPERATIONS.md lists the catalogue. Kinds that come with every request are thinned
-under load; what is left out is counted and told. Lines on refused and failed requests
-carry the whole trail of the request, so that none is needed beside them.
+docs/OPERATIONS.md lists the catalogue. Kinds of lines that occur for every request are
+rate-limited under load; suppressed lines are counted and reported. Lines on refused and
+failed requests contain the request's whole trail, so no other line is needed to explain
+them.
 """
 
 import logging
@@ -16,7 +17,7 @@
 
 
 class Level(Enum):
-    """How much a kind of line matters."""
+    """The severity of a kind of line."""
 
     INFO = logging.INFO
     WARNING = logging.WARNING
@@ -24,7 +25,7 @@
 
 
 class Decision(Enum):
-    """A kind of line: its text, level, and the most lines a second that are kept."""
+    """A kind of line: its text, its level, and the maximum of lines per second."""
 
     DAEMON_STARTED = ("daemon: started", Level.INFO, 10)
     DAEMON_PLANNED_STOP_BEGINS = ("daemon: planned stop begins", Level.INFO, 10)
@@ -100,24 +101,24 @@
 
     @property
     def text(self) -> str:
-        """Return the line's text, with the prefix of its part."""
+        """Return the line's text, prefixed by its component."""
         return self.value[0]
 
     @property
     def level(self) -> int:
-        """Return the level of ``logging``."""
+        """Return the line's level, as a number of the ``logging`` module."""
         level: int = self.value[1].value
         return level
 
     @property
     def lines_per_second(self) -> int:
-        """Return how many lines a second are kept."""
+        """Return the maximum number of lines written per second."""
         return self.value[2]
 
 
 @dataclass(slots=True)
 class _TokenBucket:
-    """What a kind may still log: a bucket of a second's lines."""
+    """The lines that a kind may still log; it holds at most one second's worth."""
 
     tokens: float
     refilled_at: float
@@ -125,13 +126,13 @@
 
 
 class LogRateLimiter:
-    """Keeps each kind of line within its rate and counts what is left out."""
+    """Limits the rate of each kind of line and counts suppressed lines."""
 
     def __init__(self) -> None:
         self._buckets: dict[Decision, _TokenBucket] = {}
 
     def allows(self, decision: Decision, now: float) -> bool:
-        """Tell whether a line of a kind is kept at a moment."""
+        """Return whether a line of a kind may be written at time ``now``."""
         rate = decision.lines_per_second
         bucket = self._buckets.get(decision)
         if bucket is None:
@@ -146,7 +147,7 @@
         return True
 
     def pop_suppressed(self) -> dict[str, int]:
-        """Return how many lines of each kind were left out since the last call."""
+        """Return and reset the number of suppressed lines of each kind."""
         suppressed = {}
         for decision, bucket in self._buckets.items():
             if bucket.suppressed:
@@ -156,14 +157,14 @@
 
 
 _RATE_LIMITER: Final = LogRateLimiter()
-# How often each decision was made, also where its line was thinned.
+# The number of times each decision was made, including those whose line was suppressed.
 COUNTS: Final[Counter[Decision]] = Counter()
 
 
 def log_decision(
     logger: logging.Logger, decision: Decision, *, trace: bool = False, **fields: Any
 ) -> None:
-    """Count a decision, and write its line with what decided it, unless thinned."""
+    """Count a decision, and write its line with its inputs unless rate-limited."""
     COUNTS[decision] += 1
     if not _RATE_LIMITER.allows(decision, time.monotonic()):
         return
@@ -171,7 +172,7 @@
 
 
 def log_suppressed(logger: logging.Logger, dropped: int) -> None:
-    """Tell which lines were thinned, and how many the writer had no room for."""
+    """Log how many lines were rate-limited, and how many found the queue full."""
     suppressed = _RATE_LIMITER.pop_suppressed()
     if suppressed or dropped:
         log_decision(
--- a/src/kestreltally/deployment.py
+++ b/src/kestreltally/deployment.py
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SocketAddress:
-    """A host and port to listen at or to call."""
+    """A host and port to listen on or to connect to."""
 
     host: str
     port: int
@@ -16,14 +16,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """The operators' bounds that decisions here depend on.
+    """The operators' bounds that the daemon's decisions must satisfy.
 
-    ``lease`` is how long two daemons that give orders to one engine must be apart.
+    ``lease`` is the minimum time between the orders of two daemons to one engine.
     ``load_window`` and ``load_overage`` bound the loads from the weight store in any
-    such window. ``retry_ratio`` and ``retry_slack`` bound repeated sends to a service
-    over all daemons in any ``retry_window``. A key that was taken away more than
-    ``revocation`` ago runs nothing, also on a daemon that is out of touch; none where
-    daemons out of touch need not know.
+    such window. ``retry_ratio`` and ``retry_slack`` bound retries to a service, summed
+    over all daemons, in any ``retry_window``. A key that was revoked more than
+    ``revocation`` ago is rejected, even by a daemon that is disconnected; it is None
+    where disconnected daemons may continue to accept revoked keys.
     """
 
     drain: Seconds
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MachineCapacity:
-    """What the machine has for this daemon: cores' worth of processor, and its link."""
+    """The machine's resources for this daemon: processor cores and network link."""
 
     cores: float
     link_mbps: float
@@ -50,10 +50,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """Who this daemon is, where it listens, and where the store is.
+    """The identity of this daemon, its addresses, and the address of the store.
 
-    ``first_start`` tells that all daemons of the deployment start together, for the
-    first time: nothing leads yet, and no client is there.
+    ``first_start`` is set if all daemons of the deployment are started together for the
+    first time, so there are neither leaders nor clients yet.
     """
 
     vm: str
--- a/src/kestreltally/events.py
+++ b/src/kestreltally/events.py
@@ -1,10 +1,10 @@
-"""Waits for events of one loop."""
+"""Waiting for asyncio events with a timeout."""
 
 import asyncio
 
 
 async def wait_at_most(event: asyncio.Event, seconds: float) -> bool:
-    """Wait until an event is set; tell whether it was in time."""
+    """Wait until an event is set; return whether it was set in time."""
     try:
         async with asyncio.timeout(seconds):
             await event.wait()
--- a/src/kestreltally/fleet_daemon.py
+++ b/src/kestreltally/fleet_daemon.py
@@ -1,9 +1,9 @@
-"""The daemon on the users' platform: reads its settings and wires the parts.
+"""The daemon for the users' platform: reads its settings and wires its components.
 
-All daemons are alike. Each is an entry for clients; in each data centre one at a time
-holds a lease and places adapters on the engines there. Leaders watch endpoints and
-versions in the store and feed them to the others; a daemon that hears none watches for
-itself.
+All daemons run the same code. Each serves clients. In each data centre, one daemon at a
+time holds the lease and places adapters on the engines of that data centre. Leaders
+watch endpoints, versions and the configuration in the store and send changes to their
+followers over the feed. A daemon without contact to a leader watches the store itself.
 """
 
 import asyncio
@@ -69,31 +69,34 @@
 EXIT_INVALID_SETTINGS: Final = 2
 EXIT_CANNOT_LISTEN: Final = 3
 MAINTENANCE_INTERVAL: Final[Seconds] = 0.1
-# Kept channels are not used past their time; they are closed this often.
+# Idle channels past their expiry are not reused; this is how often they are closed.
 CLEANUP_INTERVAL: Final[Seconds] = 1.0
-# Until a daemon is told how many there are, it asks the store as one of so many.
+# The number of daemons assumed, for pacing calls to the store, until it is reported.
 INITIAL_DAEMON_COUNT: Final = 8
 RESTART_DELAY: Final[Seconds] = 0.2
-# Changes of endpoints within this time come in one answer of the store.
+# The pause between two watch calls; changes within it arrive in one answer.
 ENDPOINTS_GAP: Final[Seconds] = 0.4
-# With the gap and a call's margin a leader that lost the store knows within 1.6 s, and
-# its followers look for themselves within the 2 s allowed for a leaving endpoint.
+# Together with the gap and the call's margin, a leader detects a lost store within
+# 1.6 s, so its followers watch the store themselves within the 2 s that are allowed for
+# noticing a leaving endpoint.
 ENDPOINTS_WAIT: Final[Seconds] = 0.4
-# Versions and configurations: no change is missed for longer than four seconds where
-# the store is silent, and sooner where the watch of endpoints tells that it is.
+# Versions and configurations: when the store is silent, no change goes unnoticed for
+# more than four seconds, and less where the endpoint watch has detected the silence.
 VERSIONS_GAP: Final[Seconds] = 0.1
 CONFIGURATION_GAP: Final[Seconds] = 0.1
 DEFAULT_WATCH_WAIT: Final[Seconds] = 3.0
-# At the very first start of all daemons the first leader is there within some 1.5 s,
-# and tells everything; until then the others need not read the store themselves.
+# When all daemons are started for the first time, the first leader is elected within
+# about 1.5 s and sends the complete state. Until then the other daemons do not need to
+# read the store.
 FIRST_LEADER_TIMEOUT: Final[Seconds] = 2.5
-# A daemon reads the configuration for itself once its word on keys has reached these
-# parts of the time for which it is believed: without a leader, and with one.
+# A daemon reads the configuration itself once the age of its last confirmation reaches
+# these fractions of the time for which keys stay valid without one: without contact to
+# a leader, and with it.
 READ_WITHOUT_LEADER_FRACTION: Final = 0.5
 READ_WITH_LEADER_FRACTION: Final = 0.7
-# The balancer asks each second and takes a daemon out after two misses.
+# The load balancer probes every second and removes a daemon after two failed probes.
 MIN_STOP_DURATION: Final[Seconds] = 3.2
-# What is left of the grace time when the last requests are cut.
+# The part of the grace period that remains when the last requests are aborted.
 STOP_MARGIN: Final[Seconds] = 0.4
 STOP_POLL_INTERVAL: Final[Seconds] = 0.05
 
@@ -247,7 +250,7 @@
         )
 
     def _read_gauges(self) -> GaugeValues:
-        """Return what the tables show now."""
+        """Return the current values of all gauges."""
         now = self._clock()
         configuration = self._fleet.configuration
         services = configuration.services if configuration else {}
@@ -288,12 +291,12 @@
         }
 
     def _start_leading(self) -> None:
-        """Wake what has nothing to do without a lease."""
+        """Wake the components that are idle without a lease."""
         self._leader.wake()
         self._exchange.feed.expedite()
 
     def _expedite(self) -> None:
-        """Have the leader told of new demand at once."""
+        """Send the report with new demand to the leader without delay."""
         primary = self._exchange.leaders.find_primary()
         if primary is not None:
             self._exchange.expedite(primary)
@@ -326,9 +329,10 @@
                 log_suppressed(LOG, self._lines.pop_dropped())
 
     def _switch_watches(self) -> None:
-        """Watch the store here unless a leader's feed tells what is there.
+        """Watch the store from this daemon unless a leader's feed provides the data.
 
-        A daemon that leads nobody tries one kind only while the store does not answer.
+        While the store does not answer, a daemon that is not a leader keeps only the
+        endpoint watch running.
         """
         leads = self._exchange.leaders.leads
         fed = self._exchange.leaders.has_fresh_feed() or self._is_first_leader_pending()
@@ -341,11 +345,12 @@
         self._versions_watch.set_enabled(others)
 
     def _needs_configuration_read(self) -> bool:
-        """Tell whether the configuration is to be read here to know its age.
+        """Return whether this daemon must read the configuration to confirm its age.
 
-        A daemon that leads reads for all that follow it. Another one reads for itself
-        where it hears no leader, or only one that does not know either; and it leaves
-        it to its watch of endpoints to find out when the store answers again.
+        A leader reads on behalf of its followers. Another daemon reads for itself if it
+        has no contact to a leader, or if its leader has not confirmed the configuration
+        either. While the store is down, only the endpoint watch probes whether it
+        answers again.
         """
         if self._fleet.keys is None:
             return False
@@ -357,29 +362,29 @@
         age = self._authority.compute_age()
         if not self._exchange.leaders.has_fresh_feed():
             return age > READ_WITHOUT_LEADER_FRACTION * bound
-        # A leader's word on it comes with the second update.
+        # A leader's second update is the first that confirms the configuration.
         return (
             min(age, self._clock() - self._started_at)
             > READ_WITH_LEADER_FRACTION * bound
         )
 
     def _is_first_leader_pending(self) -> bool:
-        """Tell whether all daemons have just been started and one will lead soon."""
+        """Return whether a new deployment is still waiting for its first leader."""
         elapsed = self._clock() - self._started_at
         return self._deployment.first_start and elapsed < FIRST_LEADER_TIMEOUT
 
     def _count_watchers(self) -> int:
-        """Return how many daemons ask the store again when it does not answer."""
+        """Return how many daemons retry calls to the store while it does not answer."""
         return 1 if self._exchange.leaders.leads else self._count_daemons()
 
     def _count_daemons(self) -> int:
-        """Return how many daemons are taken to ask the store as this one does."""
+        """Return the number of daemons assumed to call the store as this one does."""
         return self._relay.budget.daemon_count or INITIAL_DAEMON_COUNT
 
     # Start and stop.
 
     async def start(self) -> None:
-        """Listen on all sides and begin; raises ``OSError``."""
+        """Listen on all addresses and start the loops; raises ``OSError``."""
         deployment = self._deployment
         self._switch_watches()
         await self._exchange.feed.start(deployment.peers.host, deployment.peers.port)
@@ -406,7 +411,7 @@
         log_decision(LOG, Decision.DAEMON_STARTED, data_centre=deployment.data_centre)
 
     async def stop(self) -> None:
-        """Stop as planned: take no new clients, and finish what runs."""
+        """Stop gracefully: accept no new clients, and finish running requests."""
         started_at = self._clock()
         log_decision(
             LOG, Decision.DAEMON_PLANNED_STOP_BEGINS, live=self._entry_api.live
@@ -420,14 +425,14 @@
             ):
                 break
             await asyncio.sleep(STOP_POLL_INTERVAL)
-        # Not sooner: until here orders can be given, and a daemon that is started
-        # again on this VM goes on without a wait.
+        # The leases are released last, so that orders can be sent until this point and
+        # a daemon that is restarted on this VM continues without a wait.
         for lease in self._leases.values():
             await lease.release()
         log_decision(LOG, Decision.DAEMON_PLANNED_STOP_ENDS, live=self._entry_api.live)
 
     async def close(self) -> None:
-        """Let go of everything."""
+        """Close all connections and cancel all tasks."""
         await self._entry_api.close()
         self._exchange.feed.close()
         for task in self._tasks:
@@ -439,7 +444,7 @@
 
 
 async def _run_forever(loop: Callable[[], Coroutine[Any, Any, None]]) -> None:
-    """Run a loop again when it fails: a fault of one duty must not end the daemon."""
+    """Restart a loop when it fails: a fault in one loop must not end the daemon."""
     while True:
         try:
             await loop()
@@ -462,7 +467,7 @@
         log_decision(LOG, Decision.DAEMON_CANNOT_LISTEN, reason=str(error))
         await daemon.close()
         return EXIT_CANNOT_LISTEN
-    # What there is now stays: garbage is not looked for among it.
+    # Objects created so far are long-lived; exclude them from garbage collection.
     gc.freeze()
     gc.enable()
     await stop.wait()
@@ -473,7 +478,7 @@
 
 
 def _reload() -> None:
-    """Check the settings file again; addresses take effect at the next start."""
+    """Validate the settings file again; addresses take effect at the next start."""
     try:
         load_deployment(get_settings_path())
     except InvalidDeployment as error:
@@ -483,7 +488,7 @@
 
 
 def main() -> None:
-    """Run the daemon with the settings that the platform lays."""
+    """Run the daemon with the settings file provided by the platform."""
     try:
         deployment = load_deployment(get_settings_path())
     except InvalidDeployment as error:
--- a/src/kestreltally/fleet_metrics.py
+++ b/src/kestreltally/fleet_metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a daemon on the users' platform; docs/OPERATIONS.md lists them."""
+"""The metrics of a daemon on the users' platform; docs/OPERATIONS.md lists them."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -34,9 +34,10 @@
 class RequestEnd:
     """How a request ended: ``outcome`` is done, refused, broken_off or abandoned.
 
-    ``first`` is the time to the first byte of the endpoint's answer, ``waited`` that
-    for weights to come; ``errors`` tell by how much times to the first event were
-    predicted too long (above zero) or too short, once a send that was answered.
+    ``first`` is the time to the first byte of the endpoint's answer, and ``waited`` the
+    time spent waiting for weights. ``errors`` holds the error of the predicted time to
+    the first event, one value per answered send: positive if it was predicted too long,
+    negative if too short.
     """
 
     service: str
@@ -51,7 +52,7 @@
 
 
 class FleetMetrics:
-    """Counters, histograms, and gauges that are read from the tables when asked for."""
+    """Counters, histograms, and gauges whose values are read at each scrape."""
 
     def __init__(self, read_gauges: Callable[[], GaugeValues]) -> None:
         self._read_gauges = read_gauges
@@ -99,7 +100,7 @@
         )
 
     def record_end(self, end: RequestEnd) -> None:
-        """Count a request."""
+        """Record a request that has ended."""
         self._requests.inc(
             {
                 "service": end.service,
@@ -127,7 +128,7 @@
             self._weights_wait_seconds.observe(labels, end.waited)
 
     def render(self) -> tuple[bytes, dict[str, str]]:
-        """Return the exposition of all figures and its HTTP headers."""
+        """Return the exposition of all metrics and its HTTP headers."""
         for decision, count in COUNTS.items():
             name = decision.name.lower()
             self._decisions.add(
@@ -145,7 +146,7 @@
         return content, dict(headers)
 
     async def serve(self, http: web.BaseRequest) -> web.Response:
-        """Answer a request for the figures."""
+        """Answer a scrape of the metrics."""
         if http.path != METRICS_PATH:
             return web.Response(status=404)
         content, headers = self.render()
--- a/src/kestreltally/invariants.py
+++ b/src/kestreltally/invariants.py
@@ -1,8 +1,8 @@
-"""What must always hold, asserted while the program runs.
+"""Invariants, checked while the program runs.
 
-One registry: each invariant has a name, the promise of the brief it serves and
-the module that owns it. docs/PROMISES.md maps them. In production a broken one
-is counted and logged; in tests it raises.
+Each invariant is registered with a name, the requirement that it enforces and the
+module that owns it; docs/PROMISES.md maps them. In production a violation is counted
+and logged; in tests it raises.
 """
 
 import logging
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Invariant:
-    """A statement that no run may break."""
+    """A condition that must hold in every run."""
 
     name: str
     promise: str
@@ -34,12 +34,12 @@
 
 
 class InvariantBroken(AssertionError):
-    """Something that must always hold did not."""
+    """An invariant was violated."""
 
 
 @dataclass
 class Invariants:
-    """The checks of one daemon, with the count of those broken."""
+    """The invariant checks of one daemon, with a count of violations."""
 
     raises: bool
     broken: Counter[str] = field(default_factory=Counter)
@@ -48,7 +48,7 @@
     def require(self, name: str, holds: bool, detail: str) -> bool:
         """Check one invariant; return whether it held.
 
-        Raises ``InvariantBroken`` where the settings ask for it.
+        Raises ``InvariantBroken`` on a violation if the settings request it.
         """
         if holds:
             return True
--- a/src/kestreltally/logs.py
+++ b/src/kestreltally/logs.py
@@ -1,4 +1,4 @@
-"""Logs: short sentences with a fixed prefix per part, as text or JSON lines."""
+"""Logs: short messages with a fixed prefix per component, as text or JSON lines."""
 
 import json
 import logging
@@ -13,21 +13,21 @@
 from kestreltally.decisions import FIELDS
 
 if TYPE_CHECKING:
-    # At run time it would bring the YAML reader into daemons that read none.
+    # Importing it at run time would load the YAML parser into daemons without YAML.
     from kestreltally.settings import Logging
 
 TEXT_FORMAT: Final = "%(asctime)s %(levelname)s %(message)s"
-# Lines that wait for the writer: some seconds' worth at the highest rate.
+# The capacity of the writer's queue: a few seconds' worth of lines at the highest rate.
 MAX_QUEUED_LINES: Final = 4_000
-# Lines within this time are written together, seconds.
+# Lines that arrive within this time are written in one batch.
 BATCH_DELAY_SECONDS: Final = 0.05
-# How long the last lines are waited for at the end, seconds.
+# How long ``close`` waits for queued lines to be written.
 FLUSH_TIMEOUT_SECONDS: Final = 0.3
 JSON_FORMAT: Final = "%(asctime)s %(levelname)s %(name)s %(message)s"
 
 
 def set_up_logs(settings: "Logging", vm: str) -> None:
-    """Send all logs to standard error in the wanted form."""
+    """Send all logs to standard error in the configured format."""
     handler = logging.StreamHandler(sys.stderr)
     if settings.format == "json":
         handler.setFormatter(JsonFormatter(JSON_FORMAT, static_fields={"vm": vm}))
@@ -41,9 +41,9 @@
 
 
 class LineWriter(logging.Handler):
-    """Writes lines in a thread of its own, and never holds up who logs.
+    """Writes lines in a separate thread, so that logging never blocks the caller.
 
-    Lines wait in a bounded queue; what finds no room is counted in ``dropped``.
+    Lines wait in a bounded queue; lines that find it full are dropped and counted.
     """
 
     def __init__(self, stream: TextIO, vm: str) -> None:
@@ -57,7 +57,7 @@
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a line, or count it as dropped."""
+        """Queue a line, or count it as dropped if the queue is full."""
         if len(self._queue) >= MAX_QUEUED_LINES:
             self._dropped += 1
             return
@@ -65,7 +65,7 @@
         self._wake.set()
 
     def pop_dropped(self) -> int:
-        """Return how many lines found no room since the last call."""
+        """Return and reset the number of dropped lines."""
         dropped, self._dropped = self._dropped, 0
         return dropped
 
@@ -86,7 +86,7 @@
             self._stream.write("".join(lines))
             self._stream.flush()
         except (OSError, ValueError):
-            # Nobody reads: there is nowhere left to say so but the count.
+            # The output has no reader; the loss can be reported by the count only.
             self._dropped += len(lines)
 
     def _format_line(self, record: logging.LogRecord) -> str:
@@ -102,7 +102,7 @@
         return json.dumps(line, default=str) + "\n"
 
     def close(self) -> None:
-        """Wait a moment for what is queued to be written."""
+        """Wait a short time for queued lines to be written."""
         deadline = time.monotonic() + FLUSH_TIMEOUT_SECONDS
         while self._queue and time.monotonic() < deadline:
             time.sleep(BATCH_DELAY_SECONDS / 2)
--- a/src/kestreltally/metrics.py
+++ b/src/kestreltally/metrics.py
@@ -16,7 +16,7 @@
 
 
 class Metrics:
-    """Counters that are counted as things happen, and gauges read from the tables."""
+    """Counters updated as requests are served, and gauges read from the tables."""
 
     def __init__(self) -> None:
         self._registry = Registry()
@@ -28,7 +28,7 @@
         self._refusals = self._make(
             Counter,
             "kestreltally_refusals_total",
-            "Requests without a whole answer, by reason and outcome.",
+            "Requests without a complete answer, by reason and outcome.",
         )
         self._seconds = Histogram(
             "kestreltally_request_seconds",
@@ -58,7 +58,7 @@
 
     @contextmanager
     def time_request(self, request: CallerRequest) -> Iterator[None]:
-        """Count a request and the seconds that it takes."""
+        """Count a request and record its duration."""
         labels = {"priority": request.priority.name.lower()}
         started = time.monotonic()
         try:
@@ -68,7 +68,7 @@
             self._seconds.observe(labels, time.monotonic() - started)
 
     def count_refusal(self, refusal: Refusal) -> None:
-        """Count a refusal."""
+        """Count a refusal by its reason and outcome."""
         self._refusals.inc(
             {"reason": refusal.reason.value, "outcome": refusal.outcome.value}
         )
--- a/src/kestreltally/orders.py
+++ b/src/kestreltally/orders.py
@@ -1,7 +1,7 @@
-"""What the systems ask the outer side to do, and what it reports back.
+"""Orders that the systems issue, and the events that the runtime reports to them.
 
-Systems never wait: they put orders into the outbox; the runtime carries each
-out and puts a result, or whatever else happened outside, into the inbox.
+Systems never wait. They put orders into the outbox; the runtime executes each order
+and puts its result into the inbox, along with every other event from outside.
 """
 
 from dataclasses import dataclass
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendMessage:
-    """Send a message to a daemon, at an address."""
+    """Send a message to a daemon at an address."""
 
     to: VmId
     host: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimEndpoint:
-    """Write the leader record, if the object API still holds ``expected_version``."""
+    """Write the leader record if its stored version is still ``expected_version``."""
 
     record: LeaderRecord
     expected_version: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RaiseFence:
-    """Tell the endpoint to refuse orders of an older epoch."""
+    """Make the endpoint refuse orders of an older epoch."""
 
     endpoint: EndpointId
     epoch: Epoch
@@ -78,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FetchReport:
-    """Ask the endpoint for its report."""
+    """Fetch the endpoint's report."""
 
     endpoint: EndpointId
 
@@ -95,7 +95,7 @@
 
 
 class OrderOutcome(Enum):
-    """What became of an order to an endpoint."""
+    """The outcome of an order to an endpoint."""
 
     DONE = "done"
     REFUSED = "refused"
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageArrived:
-    """A peer's message came in."""
+    """A message from a peer was received."""
 
     sender: VmId
     incarnation: int
@@ -115,7 +115,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderRead:
-    """The leader record as it was after ``asked_at``; ``failed``: it wasn't read."""
+    """The leader record as of ``asked_at`` or later; ``failed`` if the read failed."""
 
     endpoint: EndpointId
     record: LeaderRecord | None
@@ -125,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimEnded:
-    """The outcome of a claim; ``record`` is what the object API holds now."""
+    """The outcome of a claim; ``record`` is the currently stored record."""
 
     endpoint: EndpointId
     won: bool
@@ -142,7 +142,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FenceRaised:
-    """The endpoint's answer to the raising of its fence."""
+    """The endpoint's answer to an order to raise its fence."""
 
     endpoint: EndpointId
     epoch: Epoch
@@ -152,7 +152,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadEnded:
-    """The endpoint's answer to a load."""
+    """The endpoint's answer to a load order."""
 
     load: str
     endpoint: EndpointId
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnloadEnded:
-    """The endpoint's answer to an unload."""
+    """The endpoint's answer to an unload order."""
 
     endpoint: EndpointId
     adapter: AdapterVersion
@@ -173,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportFetched:
-    """The endpoint's report, or none when it did not answer."""
+    """The endpoint's report, or None if it did not answer."""
 
     endpoint: EndpointId
     report: EndpointReport | None
@@ -181,10 +181,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigArrived:
-    """Changes of the configuration, all after ``after`` and up to ``revision``.
+    """All changes of the configuration after ``after``, up to ``revision``.
 
-    ``whole`` says that these are all objects there are. ``confirmed_at`` is the
-    local time at which this was the newest.
+    ``whole`` is set if these are all existing objects. ``confirmed_at`` is the local
+    time at which this was the latest configuration.
     """
 
     after: Revision
@@ -203,14 +203,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WantAdded:
-    """A request waits for a permit."""
+    """A request started waiting for a permit."""
 
     want: Want
 
 
 @dataclass(frozen=True, slots=True)
 class WantDropped:
-    """A request no longer waits."""
+    """A request stopped waiting for a permit."""
 
     want: str
 
@@ -224,7 +224,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitUsed:
-    """A request under a permit is over."""
+    """A request that ran under a permit has ended."""
 
     permit: PermitId
     attempt: AttemptId
@@ -233,7 +233,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointFailed:
-    """An attempt failed at an endpoint; ``counts``: the breaker counts it."""
+    """An attempt failed at an endpoint; ``counts`` if the circuit breaker counts it."""
 
     endpoint: EndpointId
     adapter: AdapterVersion
@@ -243,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointServed:
-    """An attempt at an endpoint ended well."""
+    """An attempt at an endpoint succeeded."""
 
     endpoint: EndpointId
     took: Seconds
@@ -251,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopRequested:
-    """A planned stop was asked for."""
+    """A graceful stop was requested."""
 
 
 OutsideEvent = (
@@ -275,7 +275,7 @@
 
 
 class RefusalReason(Enum):
-    """Why a request was refused; the value is what callers see."""
+    """Why a request was refused; the value is sent to callers."""
 
     NOT_ALLOWED = "not_allowed"
     UNKNOWN_ADAPTER = "unknown_adapter"
@@ -305,7 +305,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WantRefused:
-    """The request gets no permit; ``retry_after`` is in seconds."""
+    """The request does not get a permit; ``retry_after`` is in seconds."""
 
     want: str
     reason: RefusalReason
--- a/src/kestreltally/platform/__init__.py
+++ b/src/kestreltally/platform/__init__.py
@@ -1,5 +1,5 @@
 """The adapter to the users' platform: its names, formats and calls.
 
-Nothing here decides anything, and nothing outside this package knows a name of the
-platform's.
+This package makes no decisions, and no code outside it depends on names of the
+platform.
 """
--- a/src/kestreltally/platform/documents.py
+++ b/src/kestreltally/platform/documents.py
@@ -38,22 +38,23 @@
     "streaming": RequestKind.STREAM,
 }
 _UNITS: Final = {"requests": QuotaUnit.REQUESTS, "tokens": QuotaUnit.TOKENS}
-# Whether an endpoint of a state leaves; one in another state is not to be used.
+# Whether an endpoint in a state is leaving; one in any other state must not be used.
 _STATES: Final = {"ready": False, "draining": True}
 
 Document = Mapping[str, Any]
 
 
-# Clients give a stream up after the longest of this silence, so many objectives, and so
-# many of the longest pauses that their sheet allows between events.
+# A client abandons a stream that is silent for the maximum of: this time, this multiple
+# of the route's objective, and this multiple of the longest pause between events that
+# its specification allows.
 MIN_SILENCE_LIMIT: Final[Seconds] = 2.0
 SILENCE_LIMIT_OBJECTIVES: Final = 4.0
 SILENCE_LIMIT_PAUSES: Final = 8.0
 
 
-# What reading a document of another form raises.
+# The exceptions raised by decoding a document of an unexpected form.
 FORMAT_ERRORS: Final = (AttributeError, KeyError, OverflowError, TypeError, ValueError)
-# The longest text and the largest count that a document may hold.
+# Upper bounds on the values in a document.
 MAX_TEXT_LENGTH: Final = 512
 MAX_COUNT: Final = 2**31 - 1
 MAX_PORT: Final = 2**16 - 1
@@ -61,7 +62,7 @@
 
 
 class MalformedDocument(ValueError):
-    """An object of the store does not have the published form."""
+    """An object of the store does not conform to its published format."""
 
 
 def decode_configuration(document: Document) -> Configuration:
@@ -130,13 +131,13 @@
 
 def _decode_keys(keys: Any) -> tuple[str, ...]:
     if not isinstance(keys, list) or not all(isinstance(key, str) for key in keys):
-        # Not shown: what stands there in another form may be a key all the same.
-        raise TypeError("keys are not a list of texts")
+        # The value is not shown: malformed content may still contain a key.
+        raise TypeError("keys are not a list of strings")
     return tuple(keys)
 
 
 def _decode_quota(tenant: Document) -> Quota | None:
-    """Return an organisation's quota, or none: a rate of 0 is no limit."""
+    """Return an organisation's quota, or None: a rate of 0 means no limit."""
     rate = float(tenant.get("RatePerS") or 0.0)
     if not rate:
         return None
@@ -187,22 +188,23 @@
 
 
 def decode_endpoint(name: str, entry: Document) -> Endpoint:
-    """Return an endpoint by its own entry; raises ``MalformedDocument``.
+    """Return the endpoint that an entry describes; raises ``MalformedDocument``.
 
-    Others may write entries too: all that is used later is checked here.
+    Entries may be written by other parties, so every value used later is validated.
     """
     try:
         address = read_address(_read_text(entry["Address"]))
         return Endpoint(
             id=EndpointId(_read_text(name)),
             service=ServiceName(_read_text(entry["Service"])),
-            # No names are looked up: an address is a number.
+            # Names are not resolved: the host must be an IPv4 address.
             host=str(IPv4Address(address.host)),
             port=_read_count(address.port, maximum=MAX_PORT),
             data_centre=_read_text(entry["Zone"]),
             slots=_read_count(entry["Slots"]),
             leaving=_STATES[_read_text(entry["State"])],
-            # The entry's "Sequence" counts heartbeats, unlike that of a report.
+            # "Sequence" is not decoded: in an entry it counts heartbeats, unlike the
+            # field of that name in an engine's report.
             weights=decode_weights(entry.get("Models") or ()),
             born=read_born(entry),
         )
@@ -211,16 +213,16 @@
 
 
 def read_born(document: Document) -> int:
-    """Return when an endpoint was started, Unix milliseconds, 0 where it is not told.
+    """Return the start time of an endpoint in Unix milliseconds, or 0 if it is absent.
 
-    Raises ``TypeError`` or ``ValueError`` for anything but a whole number.
+    Raises ``TypeError`` or ``ValueError`` for anything but an integer.
     """
     born = document.get("born", 0)
     return _read_count(born, minimum=0, maximum=MAX_BORN)
 
 
 def decode_weights(models: Any) -> dict[WeightsKey, int]:
-    """Return the versions of the models and adapters that an engine lists."""
+    """Return the versions of the models and adapters that an engine reports."""
     versions: dict[WeightsKey, int] = {}
     for model in models:
         name = _read_text(model["Name"])
@@ -233,26 +235,26 @@
 
 
 def _read_text(value: Any) -> str:
-    """Return a text that can be told on; raises ``TypeError`` or ``ValueError``."""
+    """Return a string that can be encoded; raises ``TypeError`` or ``ValueError``."""
     if not isinstance(value, str):
-        raise TypeError(f"{value!r} is not a text")
+        raise TypeError(f"{value!r} is not a string")
     if not 0 < len(value) <= MAX_TEXT_LENGTH:
-        raise ValueError(f"a text of {len(value)} signs")
+        raise ValueError(f"a string of {len(value)} characters")
     value.encode()
     return value
 
 
 def _read_count(value: Any, *, minimum: int = 1, maximum: int = MAX_COUNT) -> int:
-    """Return a whole number within bounds; raises ``TypeError``, ``ValueError``."""
+    """Return an integer within bounds; raises ``TypeError`` or ``ValueError``."""
     if not isinstance(value, int) or isinstance(value, bool):
-        raise TypeError(f"{value!r} is not a whole number")
+        raise TypeError(f"{value!r} is not an integer")
     if not minimum <= value <= maximum:
-        raise ValueError(f"{value} is not in {minimum} to {maximum}")
+        raise ValueError(f"{value} is not between {minimum} and {maximum}")
     return value
 
 
 def decode_version(document: Document) -> tuple[WeightsKey, int]:
-    """Return what a new version is of, and its number."""
+    """Return the weights that a new version belongs to, and its number."""
     try:
         adapter = document.get("Adapter")
         key = WeightsKey(
--- a/src/kestreltally/platform/engines.py
+++ b/src/kestreltally/platform/engines.py
@@ -1,4 +1,4 @@
-"""The calls to a model engine: its report, and the orders it takes."""
+"""The calls to a model engine: reading its report, and sending it orders."""
 
 import json
 from dataclasses import dataclass
@@ -18,14 +18,14 @@
 
 
 class OrderKind(Enum):
-    """What an order asks an engine to do."""
+    """The operation that an order requests of an engine."""
 
     LOAD = "load"
     UNLOAD = "unload"
 
 
 class OrderOutcome(Enum):
-    """What an engine answered to an order."""
+    """An engine's answer to an order."""
 
     IN_FLIGHT = "under way"
     DONE = "done"
@@ -48,9 +48,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Order:
-    """An order to an engine, under a lease's fence.
+    """An order to an engine, protected by a lease's fence.
 
-    ``sequence`` is the number of orders that the engine must have taken before.
+    ``sequence`` is the number of orders that the engine must have accepted before.
     """
 
     kind: OrderKind
@@ -62,10 +62,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself, some hundred ms old.
+    """The state that an engine reports, a few hundred milliseconds old.
 
-    ``warm`` names adapters of which it keeps a copy, so that they load quickly;
-    ``born`` is when it was started, Unix milliseconds, 0 where it does not tell.
+    ``warm`` names adapters that load quickly because the engine keeps a copy. ``born``
+    is its start time in Unix milliseconds, or 0 if it does not report one.
     """
 
     weights: dict[WeightsKey, int]
@@ -85,7 +85,7 @@
         "Model": order.weights.model,
         "Holder": order.holder,
         "Fence": order.fence,
-        # Not a revision of the store: the engine's count of orders taken.
+        # Not a revision of the store, but the engine's count of accepted orders.
         "ExpectedRevision": order.sequence,
     }
     if order.weights.adapter:
@@ -94,12 +94,12 @@
 
 
 def decode_outcome(status: int) -> OrderOutcome:
-    """Return what the status of an answer to an order means."""
+    """Return the meaning of the status of an answer to an order."""
     return _OUTCOMES.get(status, OrderOutcome.UNKNOWN)
 
 
 def decode_report(content: bytes) -> EngineReport:
-    """Read an engine's report; raises ``MalformedDocument``."""
+    """Decode an engine's report; raises ``MalformedDocument``."""
     try:
         return _decode_report(json.loads(content))
     except FORMAT_ERRORS as error:
--- a/src/kestreltally/platform/headers.py
+++ b/src/kestreltally/platform/headers.py
@@ -1,4 +1,4 @@
-"""The headers of requests and answers that the platform gives a meaning."""
+"""The headers of requests and answers that the platform defines."""
 
 import re
 from collections.abc import Iterable, Mapping
@@ -36,19 +36,20 @@
 _LEAVING: Final = "Server-Leaving"
 _LEAVING_VALUE: Final = "1"
 _LIMIT: Final = "Server-Limit"
-# Headers of answers in which endpoints speak of themselves, and those read here.
+# The prefix of answer headers in which endpoints describe themselves, and those of them
+# that are understood.
 _SERVER_PREFIX: Final = "server-"
 _SERVER_PREFIX_INITIALS: Final = "sS"
 _KNOWN_SERVER_HEADERS: Final = frozenset({_LEAVING.lower(), _LIMIT.lower()})
-# A time in seconds or a number a second, fractions included. Nothing else is one:
-# neither a date, which the platform does not use and clocks that jump would spoil, nor
-# a sign or an exponent.
+# A time in seconds or a rate per second, with an optional fraction. Signs, exponents
+# and dates are not accepted: the platform does not use dates, and clock jumps would
+# distort them.
 _DECIMAL: Final = re.compile(r"[0-9]{1,12}(?:\.[0-9]{0,12})?")
-# No endpoint lives to see the end of a longer rest; it bounds what a misprint does.
+# No endpoint runs longer than this; the limit bounds the effect of a wrong value.
 MAX_BACKOFF: Final[Seconds] = 3600.0
 
-# A client's own values for these are dropped: only the system may set them, and a key
-# is for nobody else.
+# These headers are removed from clients' requests: only the system may set them, and a
+# key must not be forwarded.
 SYSTEM_HEADERS: Final = frozenset(
     {
         "x-expect-instance",
@@ -68,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt that other requests may share; the last is the request's."""
+    """A part of a prompt that requests may share; the last is the request's own."""
 
     id: str
     tokens: int
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """What a request's headers say; ``deadline`` is how long the client waits."""
+    """The data in a request's headers; ``deadline`` is how long the client waits."""
 
     id: str
     deadline: Seconds | None
@@ -88,12 +89,12 @@
 
     @property
     def tokens(self) -> int:
-        """Return the tokens in and out, at the most; 0 where none are told."""
+        """Return the maximum of input plus output tokens; 0 if not specified."""
         return self.prompt_tokens + self.output_tokens
 
 
 def decode_request(headers: Mapping[str, str]) -> RequestHead:
-    """Read a request's headers; raises ``ValueError`` naming the bad one."""
+    """Decode a request's headers; raises ``ValueError`` that names the invalid one."""
     deadline = headers.get(_DEADLINE)
     prompt, output = _read_tokens(headers.get(_TOKENS))
     return RequestHead(
@@ -142,7 +143,7 @@
 
 
 def read_keys(headers: MultiMapping[str]) -> list[str]:
-    """Return the keys that a client shows: one, unless something is amiss."""
+    """Return the keys that a client presents; a valid request has exactly one."""
     return headers.getall(_KEY, [])
 
 
@@ -165,15 +166,15 @@
 
 
 def was_not_run(status: int, headers: Mapping[str, str]) -> bool:
-    """Tell whether an endpoint's answer promises that the request did not run."""
+    """Return whether an endpoint's answer guarantees that the request did not run."""
     return status == MISDIRECTED or _NOT_RUN in headers
 
 
 def read_notice(status: int, headers: MultiMapping[str]) -> Notice:
-    """Return what an endpoint says of itself in an answer.
+    """Return the notice that an answer contains about its endpoint.
 
-    Of several times of rest the longest holds, of several limits the lowest; what is no
-    number says nothing.
+    Of several backoff times the longest applies, and of several limits the lowest.
+    Values that are not numbers are ignored.
     """
     leaving = headers.get(_LEAVING, "").strip() == _LEAVING_VALUE
     limit_values = headers.getall(_LIMIT, [])
@@ -194,10 +195,10 @@
 
 
 def list_unrecognised(status: int, headers: Mapping[str, str]) -> list[str]:
-    """Name what an endpoint says in an answer that nothing here reads.
+    """Return the parts of an endpoint's answer that are not understood.
 
-    That is a header in which endpoints speak of themselves, or a status without a
-    meaning.
+    These are unknown headers in which endpoints describe themselves, and a status
+    without a defined meaning.
     """
     server_headers = [
         name.lower() for name in headers if name[:1] in _SERVER_PREFIX_INITIALS
@@ -213,36 +214,36 @@
 
 
 def _read_decimals(values: Iterable[str]) -> list[float]:
-    """Return the plain decimal numbers in some header values, each a list of them."""
+    """Return the decimal numbers in header values, each a comma-separated list."""
     texts = [part.strip() for value in values for part in value.split(",")]
     return [float(text) for text in texts if _DECIMAL.fullmatch(text)]
 
 
 def read_request_id(headers: Mapping[str, str]) -> str:
-    """Return the id that a client gave its request, empty when it gave none."""
+    """Return the id that a client assigned to its request, or an empty string."""
     return headers.get(REQUEST_ID, "")
 
 
 def read_answer_id(headers: Mapping[str, str]) -> str:
-    """Return the id of the request that an answer belongs to."""
+    """Return the id of the request that an answer refers to."""
     return headers.get(REQUEST_ID, "")
 
 
 def read_instance(headers: Mapping[str, str]) -> str:
-    """Return the id of the endpoint that answered a health check or refused."""
+    """Return the id of the endpoint that answered a health check or a refusal."""
     return headers.get(_INSTANCE, "")
 
 
 def encode_retry_after(delay: Seconds) -> str:
-    """Return the text of a time to come back; fractions of seconds are allowed."""
+    """Return the value of ``Retry-After``; fractions of seconds are allowed."""
     return f"{max(0.0, delay):.2f}"
 
 
 def is_genuine(status: int, headers: Mapping[str, str]) -> bool:
-    """Tell whether an answer is of a form that endpoints give.
+    """Return whether an answer has the form that endpoints produce.
 
-    A success is signed by its endpoint, and no body is encoded, for clients ask for
-    bodies without encoding.
+    A successful answer carries its endpoint's stamp. No body is encoded, because
+    clients request bodies without content encoding.
     """
     if "Content-Encoding" in headers:
         return False
--- a/src/kestreltally/platform/settings.py
+++ b/src/kestreltally/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings file that the platform lays for each process."""
+"""Reads the settings file that the platform provides for each process."""
 
 import json
 import os
@@ -15,17 +15,17 @@
 
 PATH_VARIABLE: Final = "KESTRELTALLY_CONFIG"
 DEFAULT_PATH: Final = "/etc/kestreltally/local.json"
-# The port of the figures stands in deploy/system.toml, which sets this variable too.
+# The metrics port is configured in deploy/system.toml, which also sets this variable.
 METRICS_VARIABLE: Final = "KESTRELTALLY_METRICS_PORT"
 MILLISECONDS: Final = 1000.0
 
 
 class InvalidDeployment(ValueError):
-    """The settings file cannot be used; the message names file, key and reason."""
+    """The settings file is invalid; the message names file, key and reason."""
 
 
 def get_settings_path() -> Path:
-    """Return where the platform says that the settings file lies."""
+    """Return the path of the settings file that the platform specifies."""
     return Path(os.environ.get(PATH_VARIABLE, DEFAULT_PATH))
 
 
@@ -63,7 +63,7 @@
 
 
 def _decode_machine_capacity(limits: dict[str, Any]) -> MachineCapacity:
-    # "Cores" is not a number of cores: the one core is that many times as fast.
+    # "Cores" is not a number of cores, but the speed of the single core as a multiple.
     cores = float(limits["CpuShare"]) * float(limits["Cores"])
     return MachineCapacity(cores=cores, link_mbps=float(limits["LinkMbps"]))
 
--- a/src/kestreltally/platform/store.py
+++ b/src/kestreltally/platform/store.py
@@ -1,8 +1,9 @@
 """A client of the platform's store: lists, watches and conditional writes.
 
-The store may come back from a copy of some seconds ago. Revisions go back then and are
-given out again, so each is bound to the era in which it was told: a condition or a
-watch of another era would speak of another object, or pass over changes.
+The store may be restored from a backup that is some seconds old. Revision numbers then
+go back and are assigned again, so each revision is bound to the era in which it was
+received: with a revision of another era, a conditional write could match another
+object, and a watch could miss changes.
 """
 
 import asyncio
@@ -23,11 +24,11 @@
 
 LOG = logging.getLogger("kestreltally.store")
 
-# A call is answered in some ms; the slowest store tried takes some 300.
+# A call is answered within milliseconds; the slowest store tested takes about 300 ms.
 CALL_TIMEOUT: Final[Seconds] = 1.5
 # Writes are short and often urgent.
 WRITE_TIMEOUT: Final[Seconds] = 0.6
-# How much longer than its wait a watch may take to answer.
+# How long a watch may take to answer in addition to its wait.
 WATCH_MARGIN: Final[Seconds] = 0.8
 HISTORY_GONE: Final = 410
 CONFLICT: Final = 409
@@ -35,16 +36,16 @@
 OK: Final = 200
 CREATED: Final = 201
 _ERA: Final = "Store-Era"
-# The era before any return from a copy, and what stands for one that is not told.
+# The era before any restore from a backup, and the value for an era that is not known.
 FIRST_ERA: Final = 0
 UNKNOWN_ERA: Final = -1
-# What others had written is written again within some two seconds of the return, as
-# what has lapsed while the store was away.
+# After a restore, the other writers write their lost objects, and those that expired
+# during the outage, again within about two seconds.
 REWRITE_WINDOW: Final[Seconds] = 2.2
 
 
 class Revision(NamedTuple):
-    """A place in the store's history; numbers say something within an era only."""
+    """A position in the store's history; numbers are comparable within an era only."""
 
     era: int
     number: int
@@ -54,35 +55,35 @@
 
 
 class StoreError(Exception):
-    """The store did not answer as asked; a write may still have been done."""
+    """A call to the store failed; a write may still have been applied."""
 
 
 class RequestRejected(StoreError):
-    """The store answered that nothing was done."""
+    """The store rejected the call; nothing was written."""
 
 
 class HistoryGone(StoreError):
-    """The store no longer has the changes asked for: list again."""
+    """The store no longer has the requested changes: list the objects again."""
 
 
 class StaleEra(HistoryGone):
-    """The store has come back from a copy: what is known of it is of an older era.
+    """The store was restored from a backup: a revision is of an older era.
 
-    A write may have been done under a condition that no longer says what it said.
+    A write may have been applied under a condition whose meaning has changed.
     """
 
 
 class Conflict(StoreError):
-    """The object has another revision, or exists already."""
+    """The object has another revision, or already exists."""
 
     def __init__(self, current: "StoredObject | None") -> None:
-        super().__init__("another revision")
+        super().__init__("the object has another revision")
         self.current = current
 
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """An object of the store; ``content`` is what its writer put there."""
+    """An object of the store; ``content`` is the value set by its writer."""
 
     name: str
     revision: Revision
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An object that was written, or deleted when ``deleted``."""
+    """An object that was written, or deleted if ``deleted`` is set."""
 
     object: StoredObject
     deleted: bool
@@ -115,29 +116,29 @@
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
-    """What the store answered, and in which era."""
+    """The body of an answer of the store, and its era."""
 
     era: int
     body: Any
 
     def read_revision(self) -> Revision:
-        """Return the store's revision that a listing or a watch names."""
+        """Return the store's revision in the answer to a listing or a watch."""
         return Revision(self.era, int(self.body["CurrentRev"]))
 
 
 def lacks_writes(restored_at: Seconds, at: Seconds) -> bool:
-    """Tell whether a store that came back lacked others' writes still at a moment."""
+    """Return whether a restored store may lack writes of others at time ``at``."""
     return at - restored_at < REWRITE_WINDOW
 
 
 def _check_era(revision: Revision, era: int) -> None:
-    """Raise ``StaleEra`` where a revision is of an older era than is known."""
+    """Raise ``StaleEra`` if a revision is not of the current era."""
     if revision.era != era:
-        raise StaleEra(f"era {revision.era} has passed, {era} is known")
+        raise StaleEra(f"revision of era {revision.era}, the current era is {era}")
 
 
 def read_era(headers: Mapping[str, str]) -> int | None:
-    """Return the era that an answer names, none where it names none."""
+    """Return the era in an answer's headers, or None."""
     text = headers.get(_ERA, "")
     return int(text) if text.isascii() and text.isdigit() else None
 
@@ -145,7 +146,7 @@
 def _decode_object(item: dict[str, Any], era: int) -> StoredObject:
     metadata = item["Metadata"]
     if not isinstance(metadata["Name"], str):
-        raise TypeError("an object without a name")
+        raise TypeError("the object's name is not a string")
     return StoredObject(
         name=metadata["Name"],
         revision=Revision(era, int(metadata["Revision"])),
@@ -154,7 +155,7 @@
 
 
 def decode_objects(items: list[Any], era: int = UNKNOWN_ERA) -> list[StoredObject]:
-    """Return the objects of a page; what is no object is left out."""
+    """Return the objects of a page; malformed items are logged and skipped."""
     objects = []
     for item in items:
         try:
@@ -165,9 +166,10 @@
 
 
 def decode_page(call: str, content: bytes) -> Any:
-    """Return what a body holds; raises ``StoreError``.
+    """Return the decoded body of an answer; raises ``StoreError``.
 
-    Where a writer has put bytes that are no text, they alone are lost.
+    Bytes that are not valid UTF-8 are replaced, so they do not affect the other
+    objects.
     """
     try:
         return json.loads(content.decode("utf-8", "replace"), strict=False)
@@ -176,25 +178,25 @@
 
 
 class Store:
-    """Calls to the store. Every call is priced, also one that is refused."""
+    """A client of the store. Every call has a cost, including rejected ones."""
 
     def __init__(self, session: ClientSession, address: SocketAddress) -> None:
         self._session = session
         self._base = f"http://{address.host}:{address.port}/objects"
         self.calls = 0
-        # The latest era that was told, and when it was first known that the store had
-        # come back from a copy, by the loop's clock. Who has just started cannot tell
-        # how long ago that was.
+        # The latest known era, and the time by the loop's clock when the restore that
+        # began it was detected. A daemon that has just started cannot know how long ago
+        # the restore was.
         self.era = UNKNOWN_ERA
         self.restored_at: Seconds = float("-inf")
 
     def _record_era(self, call: str, headers: Mapping[str, str]) -> int:
-        """Take in the era of an answer; raises ``StoreError`` for a late one's."""
+        """Record the era of an answer; raises ``StoreError`` if it is an older one."""
         era = read_era(headers)
         if era is None:
             return self.era
         if era < self.era:
-            raise StoreError(f"{call}: an answer of era {era}, {self.era} is known")
+            raise StoreError(f"{call}: answer of era {era}, current era is {self.era}")
         if era > self.era:
             if era > FIRST_ERA:
                 self.restored_at = asyncio.get_running_loop().time()
@@ -207,8 +209,8 @@
         objects: list[StoredObject] = []
         revision: Revision | None = None
         async for page in self._list_pages(kind):
-            # The first page's revision: what changes during the listing is
-            # then seen again by the watch.
+            # The first page's revision is used, so that the watch that follows reports
+            # the changes made during the listing.
             revision = revision or page.read_revision()
             _check_era(revision, page.era)
             objects.extend(decode_objects(page.body["items"], page.era))
@@ -238,14 +240,14 @@
         return Changes(changes, page.read_revision())
 
     async def read(self, kind: str, name: str) -> StoredObject | None:
-        """Return an object, or none; raises ``StoreError``."""
+        """Return an object, or None; raises ``StoreError``."""
         answer = await self._call("GET", f"{kind}/{name}")
         if answer.body is None:
             return None
         return _decode_object(answer.body, answer.era)
 
     async def create(self, kind: str, name: str, content: Any) -> StoredObject:
-        """Make an object; raises ``Conflict`` when there is one."""
+        """Create an object; raises ``Conflict`` if it already exists."""
         body = {"Metadata": {"Name": name}, "Specification": content}
         stored = await self._call("POST", kind, body=body, timeout=WRITE_TIMEOUT)
         return _decode_object(stored.body, stored.era)
@@ -253,11 +255,11 @@
     async def replace(
         self, kind: str, name: str, revision: Revision, content: Any
     ) -> StoredObject:
-        """Replace an object of a known revision.
+        """Replace an object if it still has the given revision.
 
-        Raises ``Conflict`` for another revision, and ``StaleEra`` where the store
-        came back from a copy before it answered: the number may have been another
-        object's, and the write done all the same.
+        Raises ``Conflict`` if it has another revision, and ``StaleEra`` if the store
+        was restored from a backup before it answered: the revision number may then have
+        matched another version of the object, and the write may have been applied.
         """
         _check_era(revision, self.era)
         metadata = {"Name": name, "Revision": revision.number}
@@ -309,7 +311,10 @@
 
 
 def open_store_session() -> ClientSession:
-    """Return a session that sends each call once and notices a cut in seconds."""
+    """Return a session that never resends a call and detects dead connections quickly.
+
+    A silent peer is detected within about two seconds.
+    """
 
     def make_socket(address: Any) -> socket.socket:
         connection = socket.socket(address[0], address[1], address[2])
@@ -317,11 +322,11 @@
         return connection
 
     session = ClientSession(
-        connector=TCPConnector(timeout=0, socket_factory=make_socket),
+        connector=TCPConnector(limit=0, socket_factory=make_socket),
         timeout=ClientTimeout(total=None),
         auto_decompress=False,
     )
-    # By itself aiohttp sends GET and PUT a second time when a kept connection ends
-    # before the answer, and has no public switch for it.
+    # By default aiohttp resends GET and PUT when a reused connection ends before the
+    # answer, and it has no public option to disable this.
     session._retry_connection = False
     return session
--- a/src/kestreltally/policies/__init__.py
+++ b/src/kestreltally/policies/__init__.py
@@ -1,1 +1,1 @@
-"""Placement policies of the product's own way, in a registry."""
+"""The registry of placement policies, and the policies themselves."""
--- a/src/kestreltally/policies/placement.py
+++ b/src/kestreltally/policies/placement.py
@@ -1,4 +1,4 @@
-"""The product's placement policy and the baselines that it is measured against."""
+"""The product's placement policy, and baselines for comparison."""
 
 from collections.abc import Sequence
 from random import Random
@@ -30,13 +30,13 @@
     homes: int,
     random: Random,
 ) -> Candidate:
-    """Return where the adapter is held, or else its first home.
+    """Return an endpoint that holds the adapter, or else the adapter's first home.
 
-    The few homes of an adapter are its first by rendezvous hashing, so that all
-    entry daemons meet at the same ones without speaking to each other. Another
-    home loads it only when more than ``REPLICATION_THRESHOLD_BATCHES`` batches run and
-    wait where it is held: a load that is not needed takes the weight store's time
-    from all that wait.
+    The few homes of an adapter are its highest-ranked endpoints by rendezvous hashing,
+    so all entry daemons choose the same ones without communicating. Another home loads
+    the adapter only if more than ``REPLICATION_THRESHOLD_BATCHES`` batches are running
+    and waiting where it is held: an unnecessary load takes bandwidth of the weight
+    store from all waiting requests.
     """
     holders = [each for each in candidates if each.loaded]
     others = [each for each in candidates if not each.loaded and each.rank < homes]
@@ -55,9 +55,9 @@
     incoming_demand: float,
     now: Seconds,
 ) -> Resident | None:
-    """Return the resident with the least demand, if the newcomer has clearly more.
+    """Return the resident with the least demand, if the new adapter has clearly more.
 
-    The ratio keeps two adapters of like demand from evicting each other in turn.
+    The ratio prevents two adapters of similar demand from evicting each other in turn.
     """
     idle = [each for each in residents if not each.pinned and each.waiting == 0]
     if not idle:
@@ -72,7 +72,7 @@
     homes: int,
     random: Random,
 ) -> Candidate:
-    """Return any candidate."""
+    """Return a random candidate."""
     return random.choice(candidates)
 
 
@@ -82,7 +82,7 @@
     homes: int,
     random: Random,
 ) -> Candidate:
-    """Return the first by rendezvous hashing."""
+    """Return the highest-ranked candidate by rendezvous hashing."""
     return min(candidates, key=lambda each: each.rank)
 
 
@@ -92,7 +92,7 @@
     homes: int,
     random: Random,
 ) -> Candidate:
-    """Return the least full candidate, of equals one that holds the adapter."""
+    """Return the least occupied candidate; prefer one that holds the adapter."""
     return min(
         candidates,
         key=lambda each: (_occupancy(each), not each.loaded, random.random()),
@@ -105,6 +105,6 @@
     incoming_demand: float,
     now: Seconds,
 ) -> Resident | None:
-    """Return the resident whose last use is longest ago."""
+    """Return the least recently used resident."""
     free = [each for each in residents if not each.pinned]
     return min(free, key=lambda each: each.used_at, default=None)
--- a/src/kestreltally/policies/registry.py
+++ b/src/kestreltally/policies/registry.py
@@ -1,7 +1,7 @@
-"""Placement policies: where a request goes, and which slot makes room.
+"""Placement policies: where a request runs, and which slot is evicted.
 
-A policy is a pure function of what it is shown. Decorators fill the registries,
-and the settings choose by name.
+A policy is a pure function of its arguments. Decorators register the policies, and the
+settings choose one by name.
 """
 
 from collections.abc import Callable, Sequence
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """An endpoint at which a request could run, as an entry daemon sees it.
+    """An endpoint on which a request could run, as seen by an entry daemon.
 
-    ``rank`` is its place by rendezvous hashing for the adapter; ``remote`` says that it
-    is in another data centre.
+    ``rank`` is its position in the rendezvous hashing order for the adapter; ``remote``
+    is set if it is in another data centre.
     """
 
     endpoint: EndpointId
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Resident:
-    """An adapter in a slot, as the leader sees it."""
+    """An adapter in a slot, as seen by the leader."""
 
     adapter: AdapterVersion
     used_at: Seconds
@@ -54,7 +54,7 @@
 
 
 def chooses_endpoint(name: str) -> Callable[[C], C]:
-    """Register what chooses the endpoint under a policy's name."""
+    """Register a function that chooses the endpoint, under a policy's name."""
 
     def register(chooser: C) -> C:
         CHOOSERS[name] = chooser
@@ -64,7 +64,7 @@
 
 
 def chooses_victim(*names: str) -> Callable[[E], E]:
-    """Register what chooses the slot that makes room, under policies' names."""
+    """Register a function that chooses the slot to evict, under policies' names."""
 
     def register(evicter: E) -> E:
         for name in names:
--- a/src/kestreltally/ports.py
+++ b/src/kestreltally/ports.py
@@ -1,7 +1,7 @@
 """Narrow ports to everything outside a daemon.
 
-The true object API, VM list, endpoints and network may have other shapes than
-the stand-ins: changing one touches the one module that implements its port.
+The production object API, VM list, endpoints and network may differ from the stand-ins;
+adapting to one changes only the module that implements its port.
 """
 
 from collections.abc import AsyncIterator, Mapping
@@ -18,20 +18,20 @@
 
 
 class PlatformError(Exception):
-    """A service of the platform did not do what was asked."""
+    """A call to a service of the platform failed."""
 
 
 class ObjectApiDown(PlatformError):
-    """The object API surely took nothing of the call."""
+    """The object API definitely did not apply the call."""
 
 
 class AnswerLost(PlatformError):
-    """The answer did not come: the write may have taken effect."""
+    """No answer was received: the write may have been applied."""
 
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """An object as the object API holds it; version 0 means there is none."""
+    """An object as stored by the object API; version 0 means it does not exist."""
 
     key: str
     value: Any
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A conditional write did not apply; ``current`` is what is there."""
+    """A conditional write was not applied; ``current`` is the stored object."""
 
     current: StoredObject
 
@@ -58,7 +58,7 @@
     """The platform's object API. Calls raise ``ObjectApiDown``."""
 
     async def read(self, key: str) -> StoredObject:
-        """Return the object; version 0 when there is none."""
+        """Return the object, with version 0 if it does not exist."""
 
     async def list(self, prefix: str) -> Listing:
         """Return all objects under a prefix."""
@@ -69,16 +69,16 @@
         value: Any,
         expected_version: int | None,
     ) -> Result[StoredObject, Conflict]:
-        """Write if the version is the expected one (0: none there; none: any).
+        """Write if the stored version is the expected one (0: no object; None: any).
 
-        Raises ``AnswerLost`` when it may have been written.
+        Raises ``AnswerLost`` if the object may have been written.
         """
 
     async def delete(self, key: str, expected_version: int) -> bool:
-        """Delete if the version is the expected one; tell whether it was."""
+        """Delete if the stored version is the expected one; return whether it was."""
 
     async def watch(self, prefix: str, after: int, wait: Seconds) -> Listing:
-        """Wait for changes after a revision; return none when ``wait`` is over."""
+        """Wait for changes after a revision; after ``wait`` return an empty listing."""
 
 
 class VmList(Protocol):
@@ -97,7 +97,7 @@
 
 
 class EndpointRefused(EndpointError):
-    """The endpoint said that it did not run the attempt, and why."""
+    """The endpoint did not run the attempt, and gave a reason."""
 
     def __init__(self, reason: str, retry_after: Seconds = 0.0) -> None:
         super().__init__(reason)
@@ -106,12 +106,12 @@
 
 
 class AttemptLost(EndpointError):
-    """The attempt may have run; its answer did not come whole."""
+    """The attempt may have run; its answer was not received completely."""
 
 
 @dataclass(frozen=True, slots=True)
 class EngineAttempt:
-    """One try of one request at one engine."""
+    """One attempt to run a request on an engine."""
 
     attempt: AttemptId
     adapter: AdapterVersion
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """What an endpoint says before its answer."""
+    """The status and headers that an endpoint sends before the body of its answer."""
 
     attempt: str
     adapter: str
@@ -133,21 +133,21 @@
 
 
 class Answer(Protocol):
-    """An answer under way."""
+    """An answer that is being received."""
 
     @property
     def head(self) -> AnswerHead:
-        """Return what the endpoint said first."""
+        """Return the answer's status and headers."""
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the bytes as they come; raises ``AttemptLost`` when cut."""
+        """Yield bytes as they arrive; raises ``AttemptLost`` if they end early."""
 
     async def close(self) -> None:
         """Stop reading; an unfinished answer is cancelled at the endpoint."""
 
 
 class EngineClient(Protocol):
-    """Model engines: orders, reports and attempts."""
+    """A client of model engines: orders, reports and attempts."""
 
     async def raise_fence(self, url: str, token: int) -> OrderOutcome:
         """Make the engine refuse orders with a smaller token."""
@@ -158,7 +158,7 @@
         adapter: AdapterVersion,
         token: int,
     ) -> OrderOutcome:
-        """Load an adapter version; returns when it is loaded or has failed."""
+        """Load an adapter version; return once it is loaded or has failed."""
 
     async def unload(
         self,
@@ -169,7 +169,7 @@
         """Unload an adapter version."""
 
     async def report(self, endpoint: str, url: str) -> EndpointReport | None:
-        """Return the engine's report, or none."""
+        """Return the engine's report, or None."""
 
     async def start(self, url: str, attempt: EngineAttempt) -> Answer:
         """Send an attempt; raises ``EndpointError``."""
@@ -177,7 +177,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceCall:
-    """One try of one request at one plain service."""
+    """One attempt to run a request on a plain service."""
 
     attempt: AttemptId
     method: str
@@ -187,17 +187,17 @@
 
 
 class ServiceClient(Protocol):
-    """Plain services."""
+    """A client of plain services."""
 
     async def report(self, endpoint: str, url: str) -> EndpointReport | None:
-        """Return whether the service is there and whether it is leaving."""
+        """Return a report if the service answers; it says whether it is leaving."""
 
     async def call(self, url: str, call: ServiceCall) -> Answer:
         """Send a request; raises ``EndpointError``."""
 
 
 class PeerTransport(Protocol):
-    """The way to other daemons."""
+    """The transport to other daemons."""
 
     async def send(self, host: str, port: int, envelope: Envelope) -> bool:
-        """Send messages; tell whether the other side took them."""
+        """Send messages; return whether the peer accepted them."""
--- a/src/kestreltally/rates.py
+++ b/src/kestreltally/rates.py
@@ -1,4 +1,4 @@
-"""Units a second: a bucket that bounds them, and a mean that measures them."""
+"""Rates: a token bucket that limits them, and a decaying mean that measures them."""
 
 import math
 from dataclasses import dataclass
@@ -6,26 +6,27 @@
 
 from kestreltally.fleet.model import Seconds
 
-# A mean over a time of which less than this part has passed is taken as if it had.
+# A mean over a window of which a smaller fraction has elapsed is calculated as if this
+# fraction had elapsed.
 MIN_ELAPSED_FRACTION: Final = 0.2
 
 
 @dataclass(slots=True)
 class Bucket:
-    """Units that fill up at a rate; one request may overdraw it, however large."""
+    """A token bucket; a single request may overdraw it by any amount."""
 
     at: Seconds
     level: float = 1.0
 
     def refill(self, rate: float, depth: float, now: Seconds) -> float:
-        """Fill up to a moment; return the units in it."""
+        """Refill until ``now``; return the units available."""
         filled = self.level + rate * max(0.0, now - self.at)
         self.level = min(max(1.0, depth), filled)
         self.at = now
         return self.level
 
     def acquire(self, units: int, rate: float, depth: float, now: Seconds) -> bool:
-        """Take units if any are left; tell whether they were taken."""
+        """Take units if any are available; return whether they were taken."""
         if self.refill(rate, depth, now) <= 0:
             return False
         self.level -= units
@@ -34,9 +35,9 @@
 
 @dataclass(slots=True)
 class RateMeter:
-    """Units a second, a mean over the last ``time_constant`` seconds or so.
+    """Units per second: a mean that decays exponentially with ``time_constant``.
 
-    Since ``started_at`` all was counted; before it nothing is known.
+    All units since ``started_at`` are counted; nothing is known of earlier ones.
     """
 
     time_constant: Seconds
@@ -45,13 +46,13 @@
     _sum: float = 0.0
 
     def add(self, units: float, now: Seconds) -> None:
-        """Count some units at a moment."""
+        """Count units at time ``now``."""
         self._sum = self._sum * self._decay(now) + units
         self.at = now
 
     def read(self, now: Seconds) -> float:
-        """Return the units a second at a moment."""
-        # As long as it has not counted for long, the mean is of that time only.
+        """Return the units per second at time ``now``."""
+        # While the counted time is short, the mean is taken over that time only.
         elapsed_fraction = 1.0 - math.exp(
             -max(0.0, now - self.started_at) / self.time_constant
         )
--- a/src/kestreltally/runtime.py
+++ b/src/kestreltally/runtime.py
@@ -1,7 +1,7 @@
-"""The outer side of a daemon's tables: runs the ticks and carries orders out.
+"""The runtime around a daemon's tables: runs the ticks and executes orders.
 
-Nothing is decided here. Each order becomes a task over a port, and its result a
-happening in the inbox, which wakes the next tick at once.
+It makes no decisions. Each order becomes a task that calls a port; its result becomes
+an event in the inbox, which starts the next tick immediately.
 """
 
 import asyncio
@@ -54,7 +54,7 @@
 
 LOG = logging.getLogger("kestreltally.runtime")
 CANCEL_RETRY_INTERVAL: Final[Seconds] = 0.1
-# A timer may fire a little early; then the tick is due all the same.
+# A timer may fire slightly early; the tick still counts as due.
 TICK_SLACK: Final[Seconds] = 0.001
 NO_ATTEMPT: Final = AttemptId("")
 
@@ -105,7 +105,7 @@
     # Ticks
 
     def start(self) -> None:
-        """Start the tick and the reading of the platform's services."""
+        """Start the ticks and the watches on the platform's services."""
         for work in (
             self._run_ticks(),
             self._watches.watch_config(),
@@ -116,7 +116,8 @@
 
     async def stop(self) -> None:
         """End all tasks."""
-        # Python 3.11's wait_for can swallow a cancellation, so it is repeated.
+        # Python 3.11's wait_for can swallow a cancellation, so tasks are cancelled
+        # again until they end.
         while self._tasks:
             tasks = list(self._tasks)
             for task in tasks:
@@ -129,7 +130,7 @@
         task.add_done_callback(self._end_task)
 
     def _end_task(self, task: asyncio.Task[None]) -> None:
-        """Forget a task; log it if it failed, for nobody awaits it."""
+        """Remove a finished task; log its error, because no one awaits it."""
         self._tasks.discard(task)
         error = None if task.cancelled() else task.exception()
         if error is not None:
@@ -137,13 +138,13 @@
             self.failed.set()
 
     def post(self, event: OutsideEvent) -> None:
-        """Put a happening into the inbox and wake the tick."""
+        """Put an event into the inbox and wake the tick."""
         self.world.inbox.append(event)
         self._wake.set()
 
     async def _run_ticks(self) -> None:
-        # A timer that sets the event costs less than ``wait_for``, and cannot
-        # swallow a cancellation as that does in Python 3.11.
+        # A timer that sets the event costs less than ``wait_for``, and unlike it cannot
+        # swallow a cancellation in Python 3.11.
         loop = asyncio.get_running_loop()
         while True:
             timer = loop.call_at(self._next_tick_at, self._wake.set)
@@ -153,7 +154,7 @@
             self.step()
 
     def step(self) -> None:
-        """Run one tick and carry its orders out."""
+        """Run one tick and execute its orders."""
         now = self.clock()
         woken = now < self._next_tick_at - TICK_SLACK
         if not woken:
@@ -195,7 +196,7 @@
         await self.ports.peers.send(host, port, envelope)
 
     def receive(self, envelope: Envelope) -> None:
-        """Take messages of a peer in."""
+        """Put the messages of a peer into the inbox."""
         self.world.events.observe(envelope.stamp)
         for message in envelope.messages:
             arrived = MessageArrived(
@@ -209,7 +210,7 @@
     # Requests
 
     async def acquire(self, want: Want) -> WantAnswer:
-        """Wait until a request may run or is refused."""
+        """Wait until a request is granted a permit or refused."""
         future = asyncio.get_running_loop().create_future()
         self._waiting[want.want] = future
         self.post(WantAdded(want=want))
@@ -221,7 +222,7 @@
             raise
 
     def abandon(self, want: str, future: "asyncio.Future[WantAnswer]") -> None:
-        """Forget a request whose caller is gone; return a permit that came late."""
+        """Remove a request whose caller has left; return a permit granted too late."""
         self._waiting.pop(want, None)
         self.post(WantDropped(want=want))
         if future.done() and not future.cancelled():
@@ -230,7 +231,7 @@
                 self.release_unused(answer)
 
     def release_unused(self, granted: WantGranted) -> None:
-        """Return the place of a permit that no request was started under."""
+        """Release a permit under which no request was started."""
         permit = granted.permit.permit
         self.post(PermitUsed(permit=permit, attempt=NO_ATTEMPT, end=UseEnd.ENDED))
 
--- a/src/kestreltally/settings.py
+++ b/src/kestreltally/settings.py
@@ -1,4 +1,4 @@
-"""The daemon's settings: YAML, checked, as frozen data classes."""
+"""The daemon's settings: read from YAML, validated, as frozen data classes."""
 
 from dataclasses import dataclass, field, fields, is_dataclass
 from pathlib import Path
@@ -16,12 +16,12 @@
 
 
 class InvalidSettings(ValueError):
-    """The settings cannot be used; the text names file, key, value and the rule."""
+    """The settings are invalid; the message names file, key, value and rule."""
 
 
 @dataclass(frozen=True)
 class Address:
-    """Where something listens."""
+    """A host and port to listen on."""
 
     host: str
     port: Port
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class Platform:
-    """Where the platform's services are."""
+    """The addresses of the platform's services, and how they are polled."""
 
     object_api: str
     vm_list: str
@@ -40,10 +40,10 @@
 
 @dataclass(frozen=True)
 class Timing:
-    """Periods and limits of the control part, in seconds.
+    """Intervals and time limits of the control plane, in seconds.
 
-    The order that must hold: ``ack_timeout`` < ``heartbeat``; ``pause_limit`` <
-    ``suspicion``; ``permit_margin`` < ``permit_life``.
+    Required: ``ack_timeout`` < ``heartbeat``, ``pause_limit`` < ``suspicion`` and
+    ``permit_margin`` < ``permit_life``.
     """
 
     tick: Duration = 0.1
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """Bounds on what callers may take of one daemon."""
+    """Limits on the resources that callers may use of one daemon."""
 
     body_bytes: Count = 1_000_000
     header_bytes: Count = 16_384
@@ -88,7 +88,7 @@
 
 @dataclass(frozen=True)
 class Placement:
-    """The policy that chooses endpoints and victims, and the load budget."""
+    """The policy for choosing endpoints and evicting adapters, and the load budget."""
 
     policy: str = "affinity"
     homes: Annotated[int, Meta(ge=1, le=64)] = 2
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True)
 class Logging:
-    """How the daemon logs."""
+    """The log level and format."""
 
     level: str = "INFO"
     format: Annotated[str, Meta(pattern="^(text|json)$")] = "text"
@@ -129,7 +129,7 @@
 
 
 def _find_unknown_key(plain: Any, of_type: Any, prefix: str) -> str | None:
-    """Return the path of the first key that ``of_type`` does not have."""
+    """Return an error for the first key that ``of_type`` does not have, or None."""
     if not (isinstance(plain, dict) and is_dataclass(of_type)):
         return None
     hints = get_type_hints(of_type)
@@ -153,7 +153,7 @@
 
 
 def _check_order(timing: Timing) -> str | None:
-    """Return what is wrong between the periods, or none."""
+    """Return an error for the first pair of times in the wrong order, or None."""
     if timing.ack_timeout >= timing.heartbeat:
         return "timing.ack_timeout: must be below timing.heartbeat"
     if timing.pause_limit >= timing.suspicion:
@@ -166,7 +166,7 @@
 def check_settings(plain: Any, source: str) -> Settings:
     """Return the settings in ``plain``; raises ``InvalidSettings``."""
     if not isinstance(plain, dict):
-        raise InvalidSettings(f"{source}: the top must be keys with values")
+        raise InvalidSettings(f"{source}: the top level must be a mapping")
     unknown = _find_unknown_key(plain, Settings, "")
     if unknown is not None:
         raise InvalidSettings(f"{source}: {unknown}")
--- a/src/kestreltally/sockets.py
+++ b/src/kestreltally/sockets.py
@@ -3,17 +3,18 @@
 import socket
 from typing import Final
 
-# How long sent bytes may go unacknowledged before a connection is given up, ms.
-# Machines answer within a few ms; a machine without power says nothing at all.
+# How long sent bytes may stay unacknowledged before a connection is closed. Machines
+# acknowledge within a few milliseconds; a machine that lost power never does.
 USER_TIMEOUT_MS: Final = 1200
-# Probes on an idle connection: after a second, each second, two lost.
+# TCP keepalive: the first probe after one idle second, then one every second; the
+# connection is closed after two unanswered probes.
 KEEPALIVE_IDLE_SECONDS: Final = 1
 KEEPALIVE_INTERVAL_SECONDS: Final = 1
 KEEPALIVE_PROBES: Final = 2
 
 
 def harden_socket(connection: socket.socket) -> None:
-    """Let a channel to a silent machine fail within about two seconds."""
+    """Make a connection to a silent machine fail within about two seconds."""
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
     connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
--- a/src/kestreltally/timeline/__init__.py
+++ b/src/kestreltally/timeline/__init__.py
@@ -1,1 +1,1 @@
-"""What daemons decided: events, their merge, and explanations from logs."""
+"""The daemons' decisions: events, merged time lines, and explanations from logs."""
--- a/src/kestreltally/timeline/events.py
+++ b/src/kestreltally/timeline/events.py
@@ -1,4 +1,4 @@
-"""The events of one daemon: what was decided, why, and from what."""
+"""The events of one daemon: its decisions, with reasons and inputs."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -16,9 +16,9 @@
 class Event:
     """One decision.
 
-    ``stamp`` is hybrid logical time in seconds since 1970 (Kulkarni and others,
-    2014): close to the daemon's clock, and above the stamp of everything that the
-    event can follow from, here or elsewhere. ``sequence`` orders one run.
+    ``stamp`` is hybrid logical time in seconds since 1970 (Kulkarni et al., 2014):
+    close to the daemon's clock, and greater than the stamps of all events that may have
+    caused this one, on any daemon. ``sequence`` orders the events of one run.
     """
 
     stamp: float
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EventFilter:
-    """Which events to show; an empty field lets all pass."""
+    """Selects events; an empty field matches any value."""
 
     request: str = ""
     adapter: str = ""
@@ -45,7 +45,7 @@
     part: str = ""
 
     def passes(self, event: Event) -> bool:
-        """Tell whether the event is to be shown."""
+        """Return whether the event matches all fields."""
         for name in MATCHED_FIELDS:
             expected = getattr(self, name)
             if expected and not _matches(getattr(event, name), expected):
@@ -54,13 +54,13 @@
 
 
 def _matches(value: str, expected: str) -> bool:
-    """Tell whether a field is the wanted one, with or without caller or version."""
+    """Return whether a field matches, with or without its caller or version."""
     bare = value.partition(":")[2] or value
     return expected in (value, bare, value.partition("@")[0])
 
 
 class Timeline:
-    """A bounded ring of events; the oldest are lost first."""
+    """A bounded ring buffer of events; the oldest are discarded first."""
 
     def __init__(
         self,
@@ -82,7 +82,10 @@
         return self._stamp
 
     def observe(self, stamp: float) -> None:
-        """Take in the time of a message, unless it is from a far wrong clock."""
+        """Advance the clock to a message's stamp.
+
+        Stamps of clocks that are too far ahead are ignored.
+        """
         if stamp < self._wall_clock() + MAX_CLOCK_SKEW:
             self._stamp = max(self._stamp, stamp)
 
@@ -102,10 +105,10 @@
         return event
 
     def select(self, event_filter: EventFilter) -> list[Event]:
-        """Return the kept events that pass, oldest first."""
+        """Return the matching events in the buffer, oldest first."""
         return [event for event in self._ring if event_filter.passes(event)]
 
 
 def read_events(plain: Iterable[Any]) -> list[Event]:
-    """Return events from their plain form."""
+    """Return events from their decoded JSON form."""
     return msgspec.convert(list(plain), list[Event])
--- a/src/kestreltally/timeline/explain.py
+++ b/src/kestreltally/timeline/explain.py
@@ -1,4 +1,4 @@
-"""Tell in plain sentences why a request waited, ran or was refused."""
+"""Explains in plain sentences why a request waited, ran or was refused."""
 
 from collections.abc import Callable
 from typing import Final
@@ -11,7 +11,7 @@
 SENTENCES: Final[dict[tuple[str, str], Sentence]] = {
     ("request", "received"): lambda e: (
         f"{e.vm} received it for {e.adapter or 'a plain service'} ({e.detail}) and "
-        f"judged it under {e.reason}."
+        f"evaluated it under {e.reason}."
     ),
     ("request", "claims its id"): lambda e: (
         "It may run only once, so its id was claimed in the object API first."
@@ -29,7 +29,8 @@
         f"{e.endpoint} did not hold {e.adapter}, so {e.vm} planned a load ({e.reason})."
     ),
     ("loads", "closes a slot"): lambda e: (
-        f"{e.endpoint} had no free slot; {e.adapter} was chosen to go {e.reason}."
+        f"{e.endpoint} had no free slot; {e.adapter} was chosen for eviction "
+        f"{e.reason}."
     ),
     ("loads", "orders an unload"): lambda e: (
         f"{e.vm} ordered {e.endpoint} to unload {e.adapter}, as {e.reason}."
@@ -40,23 +41,23 @@
     ("loads", "load done"): lambda e: f"The load at {e.endpoint} took {e.detail}.",
     ("request", "sent"): lambda e: f"It was sent to {e.endpoint}.",
     ("request", "first token"): lambda e: f"The first token came {e.detail}.",
-    ("request", "done"): lambda e: f"It was answered whole {e.detail}.",
+    ("request", "done"): lambda e: f"It was answered completely {e.detail}.",
     ("request", "refused"): lambda e: (
-        f"It was refused {e.detail}, surely without having run: {e.reason}."
+        f"It was refused {e.detail}, definitely without having run: {e.reason}."
     ),
     ("request", "failed"): lambda e: f"It failed {e.detail}: {e.reason}.",
     ("request", "attempt lost"): lambda e: (
         f"The attempt at {e.endpoint} was lost ({e.reason}): it may have run there."
     ),
     ("request", "attempt not run"): lambda e: (
-        f"{e.endpoint} surely did not run the attempt ({e.reason})."
+        f"{e.endpoint} definitely did not run the attempt ({e.reason})."
     ),
 }
 LOAD_PARTS: Final = frozenset({"loads"})
 
 
 def select_for_request(events: list[Event], request: str) -> list[Event]:
-    """Return a request's events, and those of the loads that it waited for."""
+    """Return a request's events, and the events of the loads it waited for."""
     merged = merge_events(events)
     event_filter = EventFilter(request=request)
     request_events = [event for event in merged if event_filter.passes(event)]
@@ -79,7 +80,7 @@
 
 
 def explain_request(events: list[Event], request: str) -> list[str]:
-    """Return sentences about one request, or one that nothing is known of it."""
+    """Return sentences about one request, or a single one if it is unknown."""
     selected = select_for_request(events, request)
     if not selected:
         return [f"No daemon's time line holds a request {request!r} any more."]
--- a/src/kestreltally/timeline/loglines.py
+++ b/src/kestreltally/timeline/loglines.py
@@ -1,4 +1,4 @@
-"""Tells from the daemons' log lines what became of a request, and why."""
+"""Explains from the daemons' log lines how a request ended, and why."""
 
 import json
 from collections.abc import Callable, Iterable, Sequence
@@ -7,7 +7,8 @@
 
 from kestreltally.decisions import Decision
 
-# What else a daemon decided this long before a request's end may be its cause, seconds.
+# Other decisions of the same daemon, from this time before a request's first line until
+# its end, are listed as possible causes.
 NEARBY_SECONDS: Final = 3.0
 _NEARBY_EVENTS: Final = frozenset(
     each.text
@@ -38,7 +39,7 @@
 )
 
 
-# What any daemon saw of a request's content, whatever its id.
+# Events about a request's content; any daemon may log them, independent of request ids.
 _CONTENT_EVENTS: Final = frozenset(
     each.text
     for each in (
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of a daemon; ``at`` is its time of day, seconds."""
+    """One log line of a daemon; ``at`` is its wall-clock time in seconds."""
 
     at: float
     vm: str
@@ -62,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """What became of a request: sentences in order, and what was decided nearby."""
+    """How a request ended: sentences in order, and decisions made around that time."""
 
     request: str
     sentences: tuple[str, ...]
@@ -71,7 +72,7 @@
 
 
 def read_lines(files: Iterable[TextIO]) -> list[LogLine]:
-    """Return the lines of all daemons by time; what is no line of theirs is skipped."""
+    """Return the log lines of all daemons by time; other lines are skipped."""
     lines = []
     for file in files:
         for text in file:
@@ -104,7 +105,7 @@
 
 
 def formats(decision: Decision) -> Callable[[LineFormatter], LineFormatter]:
-    """Register what puts a kind of line into a sentence."""
+    """Register the function that formats a kind of line as a sentence."""
 
     def register(formatter: LineFormatter) -> LineFormatter:
         LINE_FORMATTERS[decision.text] = formatter
@@ -115,16 +116,16 @@
 
 @formats(Decision.REQUEST_WAITS)
 def describe_wait(fields: dict[str, Any]) -> str:
-    """Tell that a request waits for its weights."""
+    """Describe that a request waits for its weights."""
     return (
         f"it waits for {fields.get('weights')}, which no usable engine holds; a load "
-        f"takes {_format_seconds(fields.get('load_wait'))} by the leader's word"
+        f"takes {_format_seconds(fields.get('load_wait'))} by the leader's estimate"
     )
 
 
 @formats(Decision.REQUEST_MOVES_ON)
 def describe_move(fields: dict[str, Any]) -> str:
-    """Tell that an endpoint did not serve a request."""
+    """Describe that an endpoint did not serve a request."""
     may = "may have run there" if fields.get("may_have_run") else "did not run there"
     return (
         f"{fields.get('endpoint')} did not serve it: {fields.get('fault')}; it {may}; "
@@ -134,7 +135,7 @@
 
 @formats(Decision.REQUEST_REFUSED)
 def describe_refusal(fields: dict[str, Any]) -> str:
-    """Tell that a request was refused."""
+    """Describe that a request was refused."""
     after = fields.get("retry_after")
     again = f", to come back in {_format_seconds(after)}" if after is not None else ""
     return (
@@ -145,7 +146,7 @@
 
 @formats(Decision.REQUEST_BROKEN_OFF)
 def describe_break(fields: dict[str, Any]) -> str:
-    """Tell that an answer could not be finished."""
+    """Describe that an answer could not be completed."""
     return (
         f"its answer is broken off after {fields.get('took')} s: {fields.get('reason')}"
     )
@@ -153,17 +154,17 @@
 
 @formats(Decision.REQUEST_ABANDONED)
 def describe_abandonment(fields: dict[str, Any]) -> str:
-    """Tell that the client left."""
+    """Describe that the client disconnected."""
     return f"its client left after {fields.get('took')} s; its run was cancelled"
 
 
 @formats(Decision.REQUEST_DONE)
 def describe_end(fields: dict[str, Any]) -> str:
-    """Tell that a request was answered."""
+    """Describe that a request was answered."""
     return (
         f"it is answered with {fields.get('status')} after {fields.get('took')} s, "
-        f"the first byte after {_format_seconds(fields.get('first'))}, of which it waited "
-        f"{_format_seconds(fields.get('waited'))} for weights"
+        f"the first byte after {_format_seconds(fields.get('first'))}, of which it "
+        f"waited {_format_seconds(fields.get('waited'))} for weights"
     )
 
 
@@ -172,7 +173,7 @@
 
 
 def explain_request(lines: Sequence[LogLine], request: str) -> Explanation | None:
-    """Return what became of a request, or none when no line names it."""
+    """Return an explanation of a request, or None if no line names it."""
     request_lines = [line for line in lines if line.fields.get("request") == request]
     if not request_lines:
         return None
@@ -214,7 +215,7 @@
 
 
 def describe_cause(request_lines: Sequence[LogLine]) -> str:
-    """Return in a few words why a request ended as it did."""
+    """Return a short description of why a request ended as it did."""
     ends = [line for line in request_lines if line.event in _END_EVENTS]
     if not ends:
         return "not ended in these logs: its daemon was lost, or runs on"
@@ -228,7 +229,7 @@
 
 
 def count_causes(lines: Sequence[LogLine]) -> dict[str, int]:
-    """Return how many requests ended in which way without being served."""
+    """Return the number of requests that were not served, by cause."""
     causes: dict[str, int] = {}
     for line in lines:
         if line.event not in _END_EVENTS:
@@ -236,7 +237,7 @@
         cause = describe_cause([line])
         weights = line.fields.get("weights")
         if weights:
-            # One cause, whichever adapter it befell.
+            # The same cause is counted together for all adapters.
             cause = cause.replace(weights, "an adapter")
         if cause != "served":
             causes[cause] = causes.get(cause, 0) + 1
--- a/src/kestreltally/timeline/merge.py
+++ b/src/kestreltally/timeline/merge.py
@@ -1,4 +1,4 @@
-"""One time line over all daemons: merged in causal order, as text or a trace."""
+"""One time line for all daemons: merged in causal order, as text or as a trace."""
 
 from collections.abc import Iterable
 from datetime import UTC, datetime
@@ -11,7 +11,7 @@
 
 
 def merge_events(events: Iterable[Event]) -> list[Event]:
-    """Return the events in an order that no event stands before its cause in."""
+    """Return the events in an order in which no event precedes its cause."""
     return sorted(events, key=lambda e: (e.stamp, e.vm, e.incarnation, e.sequence))
 
 
--- a/src/kestreltally/world.py
+++ b/src/kestreltally/world.py
@@ -1,4 +1,4 @@
-"""The tables of one daemon, and the ways every system uses to act on them."""
+"""The tables of one daemon, and the operations on them that all systems share."""
 
 from collections import deque
 from collections.abc import Iterable
@@ -71,13 +71,13 @@
 
     @property
     def tag(self) -> str:
-        """Return a short mark of this run of this daemon, for the ids it makes."""
+        """Return a short prefix, unique to this run, for the ids the daemon creates."""
         return f"{self.vm}.{self.incarnation % TAG_RANGE:x}."
 
 
 @dataclass
 class ConfigTable:
-    """The configuration in force, by key, with the most recent changes."""
+    """The configuration in force, by key, with its most recent changes."""
 
     revision: Revision = 0
     confirmed_at: Seconds = NEVER
@@ -97,7 +97,7 @@
     pull_from: VmId | None = None
 
     def find_adapter(self, name: str) -> Adapter | None:
-        """Return the adapter of that name, if there is one."""
+        """Return the adapter of that name, or None."""
         found = self.objects.get(key_of("adapter", name))
         if found is None or not isinstance(found.value, Adapter):
             return None
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingPing:
-    """A heartbeat whose answer is awaited."""
+    """A heartbeat that has not been answered yet."""
 
     subject: VmId
     sent_at: Seconds
@@ -117,7 +117,7 @@
 
 @dataclass
 class MemberTable:
-    """The daemons known, and the rumours that are still to be told."""
+    """The known daemons, and the rumours that are still to be sent."""
 
     known: dict[VmId, Member] = field(default_factory=dict)
     listed: dict[VmId, ListedVm] = field(default_factory=dict)
@@ -139,7 +139,7 @@
 
 @dataclass
 class LeaderTable:
-    """Who leads what: as the object API says, and what this daemon leads."""
+    """The stored leader records, and the endpoints that this daemon leads."""
 
     records: dict[EndpointId, LeaderRecord] = field(default_factory=dict)
     led: dict[EndpointId, LedEndpoint] = field(default_factory=dict)
@@ -156,7 +156,7 @@
 
 @dataclass
 class LeaderBook:
-    """What this daemon has promised as a leader."""
+    """The permits and loads that this daemon has granted as a leader."""
 
     asks: dict[AskId, Ask] = field(default_factory=dict)
     permits: dict[PermitId, GrantedPermit] = field(default_factory=dict)
@@ -174,7 +174,7 @@
 
 @dataclass
 class BudgetBook:
-    """The load budget, at its leader."""
+    """The load budget, kept by the daemon that leads it."""
 
     asks: dict[str, BudgetAsk] = field(default_factory=dict)
     tokens: float = 1.0
@@ -183,7 +183,7 @@
 
 @dataclass
 class EntryBook:
-    """What this daemon holds as an entry."""
+    """The waiting requests and permits of this daemon as an entry."""
 
     wants: dict[str, Want] = field(default_factory=dict)
     held: dict[PermitId, HeldPermit] = field(default_factory=dict)
@@ -198,7 +198,7 @@
 
 @dataclass
 class World:
-    """All tables of one daemon at the present tick."""
+    """All tables of one daemon at the current tick."""
 
     identity: Identity
     settings: Settings
@@ -218,7 +218,7 @@
     entry: EntryBook = field(default_factory=EntryBook)
 
     def send(self, to: VmId, message: PeerMessage) -> None:
-        """Send a message to a daemon; to itself without the network."""
+        """Send a message to a daemon; one to itself bypasses the network."""
         if to == self.identity.vm:
             arrived = MessageArrived(
                 sender=to,
@@ -238,17 +238,17 @@
         self.outbox.append(order)
 
     def update_led(self, led: LedEndpoint, **changes: object) -> LedEndpoint:
-        """Replace a led endpoint by one with changes, and return it."""
+        """Replace a led endpoint by a changed copy, and return it."""
         changed = replace(led, **changes)  # type: ignore[arg-type]
         self.leaders.led[led.endpoint] = changed
         return changed
 
     def put_slot(self, led: LedEndpoint, slot: Slot) -> LedEndpoint:
-        """Put a slot into the table of a led endpoint."""
+        """Put a slot into a led endpoint's table."""
         return self.update_led(led, slots={**led.slots, slot.adapter: slot})
 
     def drop_slot(self, led: LedEndpoint, adapter: AdapterVersion) -> LedEndpoint:
-        """Take a slot out; older reports cannot bring it back."""
+        """Remove a slot; older reports cannot restore it."""
         slots = {name: slot for name, slot in led.slots.items() if name != adapter}
         return self.update_led(led, slots=slots, changed_at=self.now)
 
@@ -257,7 +257,7 @@
         endpoint: EndpointId,
         adapter: AdapterVersion | None = None,
     ) -> Iterable[GrantedPermit]:
-        """Yield the permits in the leader's book for an endpoint."""
+        """Yield the granted permits for an endpoint, optionally of one adapter only."""
         for permit in self.book.permits.values():
             if permit.endpoint != endpoint:
                 continue
--- a/src/kestreltally_fleet.py
+++ b/src/kestreltally_fleet.py
@@ -5,14 +5,15 @@
 
 
 def start() -> None:
-    """Run the daemon; a signal for changed settings must not end it while it starts.
+    """Run the daemon, ignoring SIGHUP until its own handler is installed.
 
-    Its modules take a third of a second to be read, and by default that signal ends a
-    process. What it tells is known all the same: the settings are read after this.
+    Importing the modules takes a third of a second, and by default SIGHUP, which asks
+    for a reload of the settings, ends the process. No reload is lost: the settings are
+    read after this point.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    # Nothing that modules make while they are read is garbage: looking for it takes 8
-    # in 100 of the start's processor time. It is switched on when the daemon listens.
+    # Imports create no garbage, and collecting takes 8 % of the processor time of the
+    # start. The collector is enabled again once the daemon listens.
     gc.disable()
     from kestreltally.fleet_daemon import main
 
--- a/tests/clocks.py
+++ b/tests/clocks.py
@@ -1,8 +1,8 @@
-"""A clock that tests set."""
+"""A clock that is set by tests."""
 
 
 class ManualClock:
-    """Tells ``now``, which its test moves on."""
+    """Returns ``now``, which the test advances."""
 
     def __init__(self) -> None:
         self.now = 100.0
--- a/tests/policies.py
+++ b/tests/policies.py
@@ -1,9 +1,8 @@
-"""A first comparison of placement policies, with the product's decision code.
+"""A first comparison of placement policies, using the product's decision code.
 
-Six daemons with their own lagging views above the fakes, under virtual time, at
-Dala's size: nine engines, nine loads a second, four at once. A first measurement:
-the engines' slots, rates and times here are assumed, and there is no clairvoyant
-bound yet.
+Six daemons, each with its own delayed view, run against the fakes under virtual time,
+at Dala's size: nine engines, nine loads per second, four at once. The engines' slots,
+rates and times are assumed, and there is no clairvoyant bound to compare with yet.
 """
 
 import asyncio
@@ -32,7 +31,7 @@
 
 @dataclass(frozen=True)
 class RunResult:
-    """What one run gave; seconds are virtual."""
+    """The results of one run; times are in virtual seconds."""
 
     policy: str
     workload: str
@@ -77,7 +76,7 @@
             self.loads += 1
 
     def draw_adapter(self, share: float) -> int:
-        """Draw from a Zipf law; the ranks move with the workload."""
+        """Draw from a Zipf distribution; the workload changes the ranks over time."""
         weights = [1 / (rank + 1) ** SKEW for rank in range(ADAPTERS)]
         rank = self.random.choices(range(ADAPTERS), weights)[0]
         if self.workload == "flip" and share > 0.5:
--- a/tests/ports.py
+++ b/tests/ports.py
@@ -1,9 +1,9 @@
-"""Ports of loopback that stay this process's own until a server listens there."""
+"""Loopback ports that are reserved for this process until a server listens on them."""
 
 import socket
 
-# Below the range that the kernel hands out, and above the fixed ports of the demos and
-# the soaks. A block is larger than what the daemons of one short soak use.
+# Below the kernel's ephemeral range, and above the fixed ports of the demos and the
+# soaks. A block is larger than the number of ports used by one short soak.
 FIRST_BLOCK_PORT = 27_000
 LAST_BLOCK_PORT = 32_000
 BLOCK_PORTS = 49
@@ -11,11 +11,11 @@
 
 
 def reserve_port() -> int:
-    """Return a port that nothing else is given until this process ends.
+    """Return a port that is not assigned to anything else until this process ends.
 
-    A socket stays bound to it without listening. The kernel then picks the port neither
-    for a connection of any process nor for one that asks for any free port, while
-    a server of ours, which allows addresses to be used again, can listen at it.
+    A socket stays bound to it without listening. The kernel then assigns the port
+    neither to a connection of any process nor to a socket that requests any free port,
+    but a server of this process can listen on it, because it sets ``SO_REUSEADDR``.
     """
     reserved = socket.socket()
     reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -26,10 +26,11 @@
 
 
 def claim_ports() -> int:
-    """Return the first of ``BLOCK_PORTS`` in a row that no other run of tests is given.
+    """Return the first of ``BLOCK_PORTS`` consecutive ports reserved for this test run.
 
-    For processes that count their ports up. A socket bound to the port before the first
-    keeps the block until this process ends: another run finds that port taken.
+    For processes that number their ports consecutively. A socket bound to the port
+    before the first reserves the block until this process ends: other runs find it in
+    use.
     """
     for guard_port in range(FIRST_BLOCK_PORT, LAST_BLOCK_PORT, 1 + BLOCK_PORTS):
         reserved = socket.socket()
@@ -40,4 +41,4 @@
             continue
         _RESERVED.append(reserved)
         return guard_port + 1
-    raise AssertionError("all blocks of ports are taken")
+    raise AssertionError("all port blocks are in use")
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -1,4 +1,4 @@
-"""Whole daemons before the platform's stand-ins, over true sockets."""
+"""Complete daemons against the platform's stand-ins, over real sockets."""
 
 import asyncio
 import io
@@ -135,7 +135,7 @@
         return daemon
 
     async def add_daemons_up_to(self, count: int) -> None:
-        """Add daemons, by data centres in turn, until there are so many."""
+        """Add daemons, alternating between the data centres, up to this number."""
         while (number := len(self.daemons)) < count:
             zone = DATA_CENTRES[number % len(DATA_CENTRES)]
             await self.add_daemon(f"{zone}-{number // len(DATA_CENTRES) + 1}", zone)
@@ -221,7 +221,8 @@
 
 
 async def test_at_the_first_start_only_leaders_read_the_store() -> None:
-    # 195 daemons made some 2,000 calls of the store before the first client came.
+    # Guards against every daemon of a new deployment reading the store: 195 daemons
+    # made about 2,000 calls to it before the first client connected.
     rig = FleetRig()
     await rig.serve(make_store_app(rig.store), rig.store_port)
     await rig.store.put("config", "main", make_configuration(1, "/a/"))
@@ -237,7 +238,7 @@
         assert len(followers) == 6
         for follower in followers:
             assert follower._endpoints_watch.answered_at == float("-inf")
-            # What it looks at is who leads.
+            # The calls that remain are reads of the leases.
             assert follower._store.calls <= 8
         for vm in rig.daemons:
             assert (await rig.ask(vm, "/a/x")).status == 200
@@ -300,8 +301,8 @@
 
 
 async def test_a_follower_of_a_leader_that_lost_the_store_follows_another() -> None:
-    # scale-1 of the grown dala-points: 26 followers of such a leader asked the store
-    # themselves, each several times a second.
+    # Guards against followers of a leader that lost the store polling the store
+    # themselves: 26 followers did so, each several times a second.
     async with run_fleet() as rig:
         follower = await rig.add_daemon("north-2", "north")
         await asyncio.sleep(0.8)
@@ -337,7 +338,8 @@
 
 
 async def test_daemons_are_counted_once_while_the_store_is_away() -> None:
-    # Guards against parts of a bound that shrink, for several leaders count a daemon.
+    # Guards against shares of a bound that are too small because a daemon is counted by
+    # several leaders.
     async with run_fleet() as rig:
         await rig.add_daemons_up_to(6)
         await asyncio.sleep(1.0)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Log lines: every decision has its kind, is bounded, and holds nobody up."""
+"""Log lines: each decision has a kind, is rate-limited, and never blocks its caller."""
 
 import io
 import json
@@ -97,7 +97,7 @@
 
 
 class BlockedStream(io.StringIO):
-    """A standard output that nobody reads until it is released."""
+    """A standard output that blocks until it is released."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,4 +1,4 @@
-"""Ports picked for servers before these listen."""
+"""Ports that are reserved for servers before they listen."""
 
 import asyncio
 import socket
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked: one line names file, key, value and the rule."""
+"""Settings are validated: an error is one line with file, key, value and rule."""
 
 from pathlib import Path
 from typing import Any
--- a/tests/test_timeline.py
+++ b/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line: bounded, in causal order, exported, explained."""
+"""The time line: bounded, ordered causally, exported and explained."""
 
 from dataclasses import replace
 
