--- a/bench/faultsoak/mutations.py
+++ b/bench/faultsoak/mutations.py
@@ -135,7 +135,7 @@
     Mutation(
         name="rest that an endpoint asks for not given",
         module="fleet/notices.py",
-        before="        row.begin_rise(now + rest)\n",
+        before="        row.start_recovery(now + rest)\n",
         after="",
         action=Action.WANTS_REST,
         every=6.0,
@@ -143,10 +143,10 @@
     ),
     Mutation(
         name="a limit that each daemon keeps alone",
-        module="fleet/limits.py",
-        before="        if lending.heard or daemons is None or daemons > ALONE_MOST + "
+        module="fleet/rate_limits.py",
+        before="        if issuer.known or daemons is None or daemons > MAX_ISOLATED + "
         "self.rate:\n            return 0.0\n"
-        "        return ALONE_PART * self.rate / max(1, daemons)\n",
+        "        return ISOLATED_FRACTION * self.rate / max(1, daemons)\n",
         after="        return self.rate\n",
         action=Action.NAMES_LIMIT,
         every=8.5,
--- a/bench/faultsoak/system.py
+++ b/bench/faultsoak/system.py
@@ -180,11 +180,11 @@
         engine.address = f"{HOST}:{await proxy.start()}"
         runner, proxy.target = await _serve(make_engine_app(engine))
         endpoint = SoakEndpoint(engine, proxy, runner)
-        engine.crash = lambda: self._begin_crash(endpoint)
+        engine.crash = lambda: self._start_crash(endpoint)
         self.endpoints.append(endpoint)
         return endpoint
 
-    def _begin_crash(self, endpoint: SoakEndpoint) -> None:
+    def _start_crash(self, endpoint: SoakEndpoint) -> None:
         task = asyncio.create_task(self._crash(endpoint))
         self._crashes.add(task)
         task.add_done_callback(self._crashes.discard)
--- a/src/kestreltally/entry/api.py
+++ b/src/kestreltally/entry/api.py
@@ -202,7 +202,7 @@
             return await self._relay.serve(request, call.client, call.progress)
         finally:
             if not call.progress.runs:
-                self._gate.give_back(request)
+                self._gate.refund(request)
 
     def _log_end(
         self,
--- a/src/kestreltally/entry/finder.py
+++ b/src/kestreltally/entry/finder.py
@@ -101,7 +101,7 @@
             candidates = self._fleet.list_service(request.service_name, now)
             if candidates:
                 return self._choose_endpoint(request, progress, candidates, now)
-            backoff = self._fleet.find_rest(request.service_name, None, now)
+            backoff = self._fleet.find_next_backoff(request.service_name, None, now)
             if backoff is None or progress.runs:
                 progress.last_fault = progress.last_fault or "no endpoint available"
                 raise make_final_error(progress)
@@ -140,8 +140,8 @@
     def _request_credits(self, request: ClientRequest, key: WeightsKey | None) -> None:
         """Request credits for a request at endpoints that name a rate limit."""
         now = asyncio.get_running_loop().time()
-        for each in self._fleet.list_limited(request.service_name, key, now):
-            self._fleet.notices.want_turn(each, now)
+        for each in self._fleet.list_rate_limited(request.service_name, key, now):
+            self._fleet.notices.record_demand(each, now)
 
     async def _wait_for_credit(
         self, request: ClientRequest, key: WeightsKey | None, timeout: Seconds
@@ -150,10 +150,12 @@
         now = asyncio.get_running_loop().time()
         service = request.service_name
         target: WaitTarget = service if key is None else key
-        limited = self._fleet.list_limited(service, key, now)
-        soonest = sorted(limited, key=lambda e: self._fleet.notices.find_rest(e, now))
+        limited = self._fleet.list_rate_limited(service, key, now)
+        soonest = sorted(
+            limited, key=lambda e: self._fleet.notices.compute_backoff(e, now)
+        )
         urgency = min(LOWEST_URGENCY, max(0, request.priority))
-        with self._fleet.notices.wait_for_turns(soonest[:1], urgency):
+        with self._fleet.notices.wait_for_credits(soonest[:1], urgency):
             if limited and self._has_candidate(service, key):
                 return
             await self.waiters.wait(target, timeout, urgency)
@@ -184,8 +186,8 @@
         if progress.runs:
             raise make_final_error(progress)
         wait = self.load_wait if self.load_wait is not None else MAX_RETRY_DELAY
-        backoff = self._fleet.find_rest(request.service_name, key, now)
-        coming = self._fleet.is_coming(request.service_name, key, now)
+        backoff = self._fleet.find_next_backoff(request.service_name, key, now)
+        coming = self._fleet.is_loading(request.service_name, key, now)
         ready = now + (0.0 if coming else min(wait, backoff or wait))
         if ready > self._compute_ready_deadline(
             request, new=not progress.waited and not coming
--- a/src/kestreltally/entry/gate.py
+++ b/src/kestreltally/entry/gate.py
@@ -44,11 +44,11 @@
             wait,
         )
 
-    def give_back(self, request: ClientRequest) -> None:
+    def refund(self, request: ClientRequest) -> None:
         """Return the units that were counted for a request that has not run."""
         name, quota = request.organisation_name, _get_quota(request)
         if name is not None and quota is not None:
-            self._limiter.give_back(name, quota.measure(request.head.tokens))
+            self._limiter.refund(name, quota.measure(request.head.tokens))
 
 
 def _get_quota(request: ClientRequest) -> Quota | None:
--- a/src/kestreltally/entry/progress.py
+++ b/src/kestreltally/entry/progress.py
@@ -8,7 +8,7 @@
 from kestreltally.entry.events import EventReader
 from kestreltally.entry.request import Refused
 from kestreltally.fleet.model import EndpointId, Seconds
-from kestreltally.poison.ends import Flight
+from kestreltally.poison.crashes import Attempt
 
 BAD_GATEWAY: Final = 502
 UNAVAILABLE: Final = 503
@@ -43,24 +43,24 @@
     first_byte_at: Seconds | None = None
     events: EventReader = field(default_factory=EventReader)
     response: web.StreamResponse | None = None
-    flight: Flight | None = None
+    flight: Attempt | None = None
     content: str | None = None
 
     def record_answered(self, *, whole: bool) -> None:
         """Record that a part of an answer, or all of it, was valid."""
         if self.flight is not None:
             self.flight.answered = True
-            self.flight.whole = whole
+            self.flight.complete = whole
 
     def record_ended(self) -> None:
         """Record that the last send got a complete answer, or did not run."""
         if self.flight is not None:
-            self.flight.whole = True
+            self.flight.complete = True
 
     def record_broken(self) -> None:
         """Record that the connection of the last send broke."""
         if self.flight is not None:
-            self.flight.broke = True
+            self.flight.broken_off = True
 
 
 class AttemptFailed(Exception):
--- a/src/kestreltally/entry/relay.py
+++ b/src/kestreltally/entry/relay.py
@@ -55,7 +55,7 @@
     EndpointId,
     Seconds,
 )
-from kestreltally.fleet.notices import NotWanted
+from kestreltally.fleet.notices import Unavailable
 from kestreltally.fleet.tables import Fleet
 from kestreltally.platform.headers import (
     LAST_EVENT_ID,
@@ -112,7 +112,7 @@
         self.finder = EndpointFinder(data_centre, fleet, health)
         self._delivery = Delivery(health, budget)
         self.poison = PoisonGuard(lambda endpoint: health.row(endpoint).received_at)
-        self.poison.ends.find_staying = self._get_staying
+        self.poison.crashes.get_serving = self._get_staying
         # Called with a prompt's token count when an endpoint starts or ends its
         # prefill.
         self.record_reading: Callable[[int], None] = lambda _: None
@@ -254,7 +254,7 @@
         try:
             channel = await self._connect(request, endpoint)
             progress.sends += 1
-            progress.flight = self.poison.ends.begin(request, endpoint)
+            progress.flight = self.poison.crashes.start(request, endpoint)
             answer = await self._ask(
                 request, progress, endpoint, channel, token, urgency
             )
@@ -283,7 +283,7 @@
 
     def _end_flight(self, progress: Progress) -> None:
         if progress.flight is not None:
-            self.poison.ends.end(progress.flight)
+            self.poison.crashes.end(progress.flight)
             progress.flight = None
 
     def _record_use(
@@ -300,7 +300,7 @@
             return await self._pool.acquire(endpoint)
         except NotConnected as error:
             if error.refused:
-                self.poison.ends.record_refused(endpoint)
+                self.poison.crashes.record_refused(endpoint)
             self._delivery.record_failure(endpoint, str(error))
             self._record_unreachable(request, endpoint)
             raise AttemptFailed(
@@ -313,7 +313,7 @@
         if key is None or request.service.engine is None:
             return
         now = asyncio.get_running_loop().time()
-        self._fleet.note_absent(endpoint.id, key, now)
+        self._fleet.record_absent(endpoint.id, key, now)
         self.finder.demand.record_refused(endpoint.id, key)
         self.finder.expedite()
 
@@ -339,7 +339,7 @@
                 answer = await self._wait_for_answer(
                     request, progress, endpoint, token, sending, wait_limit
                 )
-        except NotWanted as error:
+        except Unavailable as error:
             progress.runs -= 1
             progress.sends -= 1
             raise AttemptFailed(
@@ -396,7 +396,7 @@
         return evaluate_silence(
             UnansweredRequest(
                 serves=any(each.id == endpoint.id for each in holders)
-                or self._fleet.rests(endpoint, now),
+                or self._fleet.is_backing_off(endpoint, now),
                 has_alternative=any(each.id not in progress.tried for each in holders),
                 silent_for=now - self.health.row(endpoint.id).received_at,
                 overtaken=self.health.is_overtaken(endpoint.id, token),
@@ -412,10 +412,10 @@
         if answer.status == MISDIRECTED:
             instance = read_instance(answer.headers)
             if instance and instance != endpoint.id:
-                self.poison.ends.note_replaced(endpoint)
+                self.poison.crashes.record_replaced(endpoint)
                 self._fleet.drop_endpoint(endpoint.id)
             elif key is not None:
-                self._fleet.note_absent(endpoint.id, key, now)
+                self._fleet.record_absent(endpoint.id, key, now)
                 self.finder.demand.record_refused(endpoint.id, key)
                 self.finder.expedite()
         try:
@@ -460,7 +460,7 @@
         key = request.head.weights
         if key is None or not key.adapter:
             return None
-        newest = self._fleet.newest_version(key)
+        newest = self._fleet.get_newest_version(key)
         return newest if endpoint.weights.get(key) == newest else None
 
     async def _forward(
--- a/src/kestreltally/entry/upstream.py
+++ b/src/kestreltally/entry/upstream.py
@@ -19,9 +19,9 @@
 from aiohttp.http_exceptions import HttpProcessingError
 from multidict import MultiMapping
 
-from kestreltally.fleet.limits import NEVER
 from kestreltally.fleet.model import Endpoint, Seconds
 from kestreltally.fleet.notices import NoticeTable
+from kestreltally.fleet.rate_limits import NEVER
 from kestreltally.platform.headers import (
     is_genuine,
     list_unrecognised,
@@ -142,7 +142,7 @@
 
         A faulty endpoint may send a second answer to an earlier request. Such answers
         are skipped, and the channel is not kept. Without a ``request_id`` any answer is
-        accepted. Raises ``NotWanted`` if nothing was sent, and ``AnswerLost`` once any
+        accepted. Raises ``Unavailable`` if nothing was sent, and ``AnswerLost`` once any
         byte may have been sent.
         """
         protocol = self._protocol
@@ -158,7 +158,7 @@
             max_field_size=MAX_HEAD_BYTES,
         )
         sent_at = self._loop.time()
-        trial = self._notices.begin_send(self._endpoint, sent_at)
+        trial = self._notices.start_send(self._endpoint, sent_at)
         transport.write(head + body if body else head)
         try:
             answer = await self._read_head()
@@ -166,7 +166,9 @@
                 matches = request_id in (None, read_answer_id(answer.headers))
                 # An answer to an earlier request may be of any age.
                 asked_at = sent_at if matches else NEVER
-                self._apply_notice(answer, asked_at, signed=request_id is not None)
+                self._apply_notice(
+                    answer, asked_at, from_request=request_id is not None
+                )
                 if matches:
                     return answer
                 protocol.force_close()
@@ -193,22 +195,30 @@
             body=payload,
         )
 
-    def _apply_notice(self, answer: Answer, sent_at: Seconds, *, signed: bool) -> None:
+    def _apply_notice(
+        self, answer: Answer, sent_at: Seconds, *, from_request: bool
+    ) -> None:
         """Apply the notice that an answer contains about its endpoint.
 
         Answers of another endpoint at the same address, and those that are not genuine,
-        are ignored. Only answers to ``signed`` requests can be checked for being
+        are ignored. Only answers to ``from_request`` requests can be checked for being
         genuine.
         """
         instance = read_instance(answer.headers)
         if instance and instance != self._endpoint.id:
             return
-        if signed and not is_genuine(answer.status, answer.headers):
+        if from_request and not is_genuine(answer.status, answer.headers):
             return
-        self._notices.unread.record(list_unrecognised(answer.status, answer.headers))
+        self._notices.unknown_signals.record(
+            list_unrecognised(answer.status, answer.headers)
+        )
         notice = read_notice(answer.status, answer.headers)
         self._notices.record(
-            self._endpoint, notice, self._loop.time(), sent_at, signed=signed
+            self._endpoint,
+            notice,
+            self._loop.time(),
+            sent_at,
+            from_request=from_request,
         )
 
     def apply_keep_alive(self, answer: Answer, now: Seconds) -> None:
--- a/src/kestreltally/fleet/model.py
+++ b/src/kestreltally/fleet/model.py
@@ -197,19 +197,19 @@
     """What one answer says of its endpoint; ``rest`` is 0 where it asks for none.
 
     ``limit`` is how many requests a second the endpoint takes from all daemons
-    together, none where it names none; ``unclear`` tells that it names one that cannot
-    be read. ``turns_away`` tells that it did not run a request, with no word on when it
+    together, none where it names none; ``malformed`` tells that it names one that cannot
+    be read. ``rejects`` tells that it did not run a request, with no word on when it
     will.
     """
 
     leaves: bool
     rest: Seconds
     limit: float | None = None
-    unclear: bool = False
-    turns_away: bool = False
+    malformed: bool = False
+    rejects: bool = False
 
 
-SILENT: Final = Notice(leaves=False, rest=0.0)
+EMPTY_NOTICE: Final = Notice(leaves=False, rest=0.0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -230,9 +230,9 @@
     turn_wait: Seconds = 0.0
 
 
-def is_other_life(known: int, told: int) -> bool:
+def is_other_incarnation(known: int, reported: int) -> bool:
     """Tell whether what is told of an endpoint is of another start of it.
 
     Starts are told apart by ``born``; one that is not told may be either.
     """
-    return bool(known and told) and known != told
+    return bool(known and reported) and known != reported
--- a/src/kestreltally/fleet/organisations.py
+++ b/src/kestreltally/fleet/organisations.py
@@ -26,7 +26,7 @@
     return KeyDigest(blake2b(content, key=_SECRET, digest_size=DIGEST_BYTES).digest())
 
 
-def show_digest(digest: KeyDigest) -> str:
+def format_digest(digest: KeyDigest) -> str:
     """Return what is logged in place of a key."""
     return digest[:SHOWN_BYTES].hex()
 
@@ -51,7 +51,7 @@
             log_decision(
                 LOG,
                 Decision.KEY_NAMED_TWICE,
-                key=show_digest(digest),
+                key=format_digest(digest),
                 holder=holder.name,
                 other=organisation.name,
             )
--- a/src/kestreltally/fleet/tables.py
+++ b/src/kestreltally/fleet/tables.py
@@ -16,15 +16,15 @@
     ServiceSpec,
     WeightsKey,
 )
-from kestreltally.fleet.notices import FOR_EVER, NoticeTable
+from kestreltally.fleet.notices import FOREVER, NoticeTable
 from kestreltally.fleet.organisations import KeyTable
 
 # How long an engine's "I do not hold that" is believed over the tables: two rounds
 # of the leader's feed and an engine's report, which is some 200 ms old.
-ABSENT_FOR: Final[Seconds] = 0.6
+ABSENT_DURATION: Final[Seconds] = 0.6
 # How long an older version may still be used while its replacement is awaited. The
 # operators' bound is 5 s from the store's answer; knowledge of it is up to 1 s old.
-OLD_VERSION_FOR: Final[Seconds] = 2.5
+OLD_VERSION_GRACE: Final[Seconds] = 2.5
 
 
 @dataclass(slots=True)
@@ -75,7 +75,7 @@
         self.versions: dict[WeightsKey, KnownVersion] = {}
         self._by_service: dict[ServiceName, set[EndpointId]] = defaultdict(set)
         self._holders: dict[WeightsKey, set[EndpointId]] = defaultdict(set)
-        self._absent: dict[tuple[EndpointId, WeightsKey], Seconds] = {}
+        self._absent_until: dict[tuple[EndpointId, WeightsKey], Seconds] = {}
         self.copies = CopyTable()
         self.notices = NoticeTable()
 
@@ -90,7 +90,7 @@
         self.keys = KeyTable(named) if named else None
         return True
 
-    def find_service(self, name: ServiceName) -> ServiceSpec | None:
+    def get_service(self, name: ServiceName) -> ServiceSpec | None:
         """Return a service of the configuration in force."""
         if self.configuration is None:
             return None
@@ -98,7 +98,7 @@
 
     def put_endpoint(self, endpoint: Endpoint) -> None:
         """Add an endpoint, or replace what was known of it."""
-        endpoint = self.notices.heed(endpoint)
+        endpoint = self.notices.apply_to(endpoint)
         known = self.endpoints.get(endpoint.id)
         self.endpoints[endpoint.id] = endpoint
         if known is None or known.service != endpoint.service:
@@ -110,7 +110,7 @@
             self._holders[key].add(endpoint.id)
         for key in before - endpoint.weights.keys():
             self._drop_holder(endpoint.id, key)
-            self.copies.note_dropped(endpoint.id, key)
+            self.copies.record_dropped(endpoint.id, key)
 
     def _drop_holder(self, endpoint_id: EndpointId, key: WeightsKey) -> None:
         holders = self._holders[key]
@@ -122,7 +122,7 @@
         """Return the engines of a service that may bring an adapter from a copy."""
         names = self.copies.list_engines(key)
         found = (self.endpoints[each] for each in names if each in self.endpoints)
-        return [each for each in found if _takes_work(each, service)]
+        return [each for each in found if _accepts_work(each, service)]
 
     def drop_endpoint(self, endpoint: EndpointId) -> None:
         """Forget an endpoint that is gone."""
@@ -131,7 +131,7 @@
             self._by_service[known.service].discard(endpoint)
             for key in known.weights:
                 self._drop_holder(endpoint, key)
-        self.copies.forget(endpoint)
+        self.copies.remove_endpoint(endpoint)
 
     def _list_known(self, service: ServiceName) -> Iterator[Endpoint]:
         return (self.endpoints[each] for each in self._by_service.get(service, ()))
@@ -149,15 +149,15 @@
         awake = [
             each
             for each in self._list_known(service)
-            if not each.leaving and not self.notices.find_rest(each, now)
+            if not each.leaving and not self.notices.compute_backoff(each, now)
         ]
         return [each for each in awake if not each.spared] or awake
 
-    def rests(self, endpoint: Endpoint, now: Seconds) -> bool:
+    def is_backing_off(self, endpoint: Endpoint, now: Seconds) -> bool:
         """Tell whether an endpoint rests, but stays."""
-        return 0 < self.notices.find_rest(endpoint, now) < FOR_EVER
+        return 0 < self.notices.compute_backoff(endpoint, now) < FOREVER
 
-    def find_rest(
+    def find_next_backoff(
         self, service: ServiceName, key: WeightsKey | None, now: Seconds
     ) -> Seconds | None:
         """Return until when the first endpoint rests that could serve otherwise.
@@ -171,35 +171,35 @@
             else (self.endpoints[each] for each in self._holders.get(key, ()))
         )
         rests = (
-            self.notices.find_rest(each, now)
+            self.notices.compute_backoff(each, now)
             for each in able
             if each.service == service and not each.leaving
         )
-        return min((rest for rest in rests if 0 < rest < FOR_EVER), default=None)
+        return min((rest for rest in rests if 0 < rest < FOREVER), default=None)
 
     def list_holders(
         self, service: ServiceName, key: WeightsKey, now: Seconds
     ) -> list[Endpoint]:
         """Return the endpoints of a service to ask now for some weights."""
-        able = self._list_able(service, key, now)
-        return [each for each in able if not self.notices.find_rest(each, now)]
+        able = self._list_capable(service, key, now)
+        return [each for each in able if not self.notices.compute_backoff(each, now)]
 
-    def list_limited(
+    def list_rate_limited(
         self, service: ServiceName, key: WeightsKey | None, now: Seconds
     ) -> list[Endpoint]:
         """Return the endpoints that could serve, and name a limit.
 
         Without ``key`` any endpoint of the service could serve.
         """
-        if not self.notices.any_limited:
+        if not self.notices.any_rate_limited:
             return []
         if key is not None:
-            able = self._list_able(service, key, now)
+            able = self._list_capable(service, key, now)
         else:
             able = [each for each in self._list_known(service) if not each.leaving]
-        return [each for each in able if self.notices.is_limited(each)]
+        return [each for each in able if self.notices.is_rate_limited(each)]
 
-    def _list_able(
+    def _list_capable(
         self, service: ServiceName, key: WeightsKey, now: Seconds
     ) -> list[Endpoint]:
         """Return the endpoints of a service that can run requests for some weights.
@@ -213,12 +213,12 @@
         return [
             each
             for each in found
-            if _takes_work(each, service)
-            and self._absent.get((each.id, key), now) <= now
+            if _accepts_work(each, service)
+            and self._absent_until.get((each.id, key), now) <= now
             and not self.is_outdated(each, key, now)
         ]
 
-    def list_useful(self, service: ServiceName, now: Seconds) -> list[Endpoint]:
+    def list_usable(self, service: ServiceName, now: Seconds) -> list[Endpoint]:
         """Return the endpoints of a service that all daemons can use, as far as known.
 
         Where only spared ones are left, those.
@@ -226,26 +226,30 @@
         useful = [
             each
             for each in self._list_known(service)
-            if not each.leaving and not self.notices.is_short(each, now)
+            if not each.leaving and not self.notices.is_constrained(each, now)
         ]
         return [each for each in useful if not each.spared] or useful
 
     def is_held(self, service: ServiceName, key: WeightsKey, now: Seconds) -> bool:
         """Tell whether some weights can be used, by all daemons as far as is known."""
-        able = self._list_able(service, key, now)
-        return any(not self.notices.is_short(each, now) for each in able)
+        able = self._list_capable(service, key, now)
+        return any(not self.notices.is_constrained(each, now) for each in able)
 
-    def is_coming(self, service: ServiceName, key: WeightsKey, now: Seconds) -> bool:
+    def is_loading(self, service: ServiceName, key: WeightsKey, now: Seconds) -> bool:
         """Tell whether some weights are on their way to an engine of a service."""
         return any(key in each.loading for each in self.list_service(service, now))
 
-    def note_absent(self, endpoint: EndpointId, key: WeightsKey, now: Seconds) -> None:
+    def record_absent(
+        self, endpoint: EndpointId, key: WeightsKey, now: Seconds
+    ) -> None:
         """Remember that an engine has just refused for want of some weights."""
-        self._absent[(endpoint, key)] = now + ABSENT_FOR
+        self._absent_until[(endpoint, key)] = now + ABSENT_DURATION
 
-    def forget_absences(self, now: Seconds) -> None:
-        """Drop what was noted by ``note_absent`` and is over."""
-        self._absent = {k: until for k, until in self._absent.items() if until > now}
+    def prune_absences(self, now: Seconds) -> None:
+        """Drop what was noted by ``record_absent`` and is over."""
+        self._absent_until = {
+            k: until for k, until in self._absent_until.items() if until > now
+        }
 
     def apply_version(self, key: WeightsKey, number: int, now: Seconds) -> bool:
         """Note the newest version of some weights; tell whether it is news."""
@@ -263,14 +267,14 @@
             return False
         if newest is None or endpoint.weights.get(key, 0) >= newest.number:
             return False
-        return now - newest.learned_at > OLD_VERSION_FOR
+        return now - newest.learned_at > OLD_VERSION_GRACE
 
-    def newest_version(self, key: WeightsKey) -> int | None:
+    def get_newest_version(self, key: WeightsKey) -> int | None:
         """Return the newest version that was named, or none."""
         known = self.versions.get(key)
         return known.number if known is not None else None
 
 
-def _takes_work(endpoint: Endpoint, service: ServiceName) -> bool:
+def _accepts_work(endpoint: Endpoint, service: ServiceName) -> bool:
     """Tell whether an endpoint is of a service, and neither leaves nor is spared."""
     return endpoint.service == service and not endpoint.leaving and not endpoint.spared
--- a/src/kestreltally/fleet/unread.py
+++ b/src/kestreltally/fleet/unknown_signals.py
@@ -14,11 +14,11 @@
 LOG = logging.getLogger("kestreltally.unread")
 
 # Names beyond these are counted together, whatever endpoints send.
-NAMES_MOST: Final = 32
+MAX_NAMES: Final = 32
 OTHERS: Final = "others"
 
 
-class UnreadWords:
+class UnknownSignals:
     """Counts them by name."""
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
     def record(self, names: Iterable[str]) -> None:
         """Count the unread words of an answer."""
         for name in names:
-            if name not in self._counts and len(self._counts) >= NAMES_MOST:
+            if name not in self._counts and len(self._counts) >= MAX_NAMES:
                 name = OTHERS
             if name not in self._counts:
                 log_decision(LOG, Decision.ENDPOINT_WORD_UNREAD, word=name)
--- a/src/kestreltally/fleet_daemon.py
+++ b/src/kestreltally/fleet_daemon.py
@@ -60,8 +60,8 @@
     load_deployment,
 )
 from kestreltally.platform.store import Store, lacks_writes, open_store_session
-from kestreltally.poison.keeping import PoisonKeeper
-from kestreltally.poison.surface import PoisonSurface
+from kestreltally.poison.api import PoisonApi
+from kestreltally.poison.persistence import PoisonPersistence
 from kestreltally.quotas.limiters import DEFAULT, LIMITERS
 
 LOG = logging.getLogger("kestreltally.daemon")
@@ -186,7 +186,7 @@
             VERSIONS_GAP,
             DEFAULT_WATCH_WAIT,
         )
-        self._keeper = PoisonKeeper(
+        self._poison_persistence = PoisonPersistence(
             self._store,
             self._relay.poison,
             deployment.data_centre,
@@ -284,7 +284,7 @@
                 "requests": self._pool.used,
                 "orders_and_reports": self._control_pool.used,
             },
-            "unread_words": self._fleet.notices.unread.count(),
+            "unread_words": self._fleet.notices.unknown_signals.count(),
             "poison_requests": self._relay.poison.register.count(),
             "endpoints_by_word": self._fleet.notices.count(now),
             "daemons_known": {"feed": budget.daemon_count or 0},
@@ -318,7 +318,7 @@
             )
             self._endpoints.drop_expired()
             self._configuration.apply_pending()
-            self._fleet.forget_absences(now)
+            self._fleet.prune_absences(now)
             if now >= cleaned_at + CLEANUP_INTERVAL:
                 cleaned_at = now
                 self._relay.poison.run_maintenance()
@@ -389,7 +389,7 @@
         self._switch_watches()
         await self._exchange.feed.start(deployment.peers.host, deployment.peers.port)
         await self._entry_api.start(deployment.clients, deployment.readiness)
-        operators = PoisonSurface(self._relay.poison.register, self._metrics.serve)
+        operators = PoisonApi(self._relay.poison.register, self._metrics.serve)
         await self._entry_api.listen(
             web.Server(operators.serve, access_log=None),
             SocketAddress(deployment.peers.host, deployment.metrics_port),
@@ -402,7 +402,7 @@
             self._leader.run,
             self._exchange.feed.run,
             self._reader.run,
-            self._keeper.run,
+            self._poison_persistence.run,
             self._run_maintenance,
             *(lease.run for lease in self._leases.values()),
             *(client.run for client in self._exchange.leaders.clients.values()),
--- a/src/kestreltally/knowledge/credits.py
+++ b/src/kestreltally/knowledge/credits.py
@@ -14,8 +14,8 @@
 from collections.abc import Callable, Iterable, Iterator, Mapping
 from typing import Any
 
-from kestreltally.fleet.limits import AHEAD, Lending, LimitStanding
 from kestreltally.fleet.model import Endpoint, EndpointId, KnownNotice, Seconds
+from kestreltally.fleet.rate_limits import PREFETCH_URGENCY, IssuerState, RateLimitState
 from kestreltally.fleet.tables import Fleet
 from kestreltally.knowledge.daemon_count import DaemonCount
 from kestreltally.knowledge.feed import FeedServer
@@ -71,18 +71,18 @@
         self._issue_timer: asyncio.TimerHandle | None = None
         self._daemon_count = DaemonCount()
         self.record_credit: Callable[[Endpoint], None] = lambda _: None
-        self._notices.find_lending = self.find_lending
+        self._notices.get_issuer_state = self.get_issuer_state
         self._notices.record_requested = self._record_requested
 
     # Which daemon issues credits.
 
-    def find_lending(self, endpoint: Endpoint) -> Lending:
+    def get_issuer_state(self, endpoint: Endpoint) -> IssuerState:
         """Return what is known of the issuer of an endpoint's credits.
 
         Any leader provides them: it issues them, or forwards those of another leader.
         """
-        heard = self._leaders.leads or self._leaders.find_primary() is not None
-        return Lending(heard=heard, daemons=self._daemon_count.maximum)
+        known = self._leaders.leads or self._leaders.find_primary() is not None
+        return IssuerState(known=known, daemons=self._daemon_count.maximum)
 
     def record_daemon_count(self, count: int) -> None:
         """Record the number of daemons in the groups of all reachable leaders."""
@@ -97,7 +97,7 @@
         """Return whether this daemon leads an endpoint; the lease may have expired."""
         return self._get_lease(endpoint).leads
 
-    def _choose_terms(self, endpoint: Endpoint, limit: LimitStanding) -> Terms:
+    def _choose_terms(self, endpoint: Endpoint, limit: RateLimitState) -> Terms:
         """Return the terms on which this daemon issues credits of an endpoint."""
         if self._get_lease(endpoint).holds_alone():
             return find_leased_terms(limit.rate)
@@ -119,7 +119,7 @@
         if self._issue_timer is not None:
             self._issue_timer.cancel()
             self._issue_timer = None
-        limits = self._notices.list_limits()
+        limits = self._notices.list_rate_limits()
         self._issuer.forget(name for name, _, _ in limits)
         if not limits or not self._leaders.leads:
             return
@@ -150,9 +150,9 @@
         known = self._fleet.endpoints.get(endpoint)
         if known is None:
             return
-        limit = self._notices.find_limit(endpoint, known.born)
+        limit = self._notices.get_rate_limit(endpoint, known.born)
         if limit is not None and expires_at > self._clock():
-            limit.turns.append(expires_at)
+            limit.credits.append(expires_at)
             self._local_holder.wanted[endpoint] = limit.list_requested(self._clock())
             self.record_credit(known)
 
@@ -192,7 +192,7 @@
         leads = self._leaders.leads
         if not leads and self._leaders.find_primary() not in (data_centre, None):
             return
-        for name, _, limit in self._notices.list_limits():
+        for name, _, limit in self._notices.list_rate_limits():
             known = self._fleet.endpoints.get(name)
             if known is None:
                 continue
@@ -217,7 +217,9 @@
         for name, requested in credit_holder.wanted.items():
             known = self._fleet.endpoints.get(name)
             # Credits that no call waits for yet are issued in the leader's next rounds.
-            if known is None or all(urgency >= AHEAD for urgency in requested):
+            if known is None or all(
+                urgency >= PREFETCH_URGENCY for urgency in requested
+            ):
                 continue
             if self._issues(known):
                 self.issue()
@@ -246,7 +248,7 @@
         is_followed = received.followed and not self._leaders.leads
         for row in update.notices or ():
             notice = decode_notice(row)
-            self._notices.take_limit_told(notice, self._clock())
+            self._notices.apply_reported_limit(notice, self._clock())
             self._apply_wait(notice, received.led_data_centres, is_followed=is_followed)
         if update.turns and update.echo is not None:
             # Credits expire relative to the time of this daemon's report. So an update
@@ -263,7 +265,7 @@
     ) -> None:
         """Apply the wait for credits that the issuer reports, or a leader forwards."""
         known = self._fleet.endpoints.get(notice.endpoint)
-        limit = self._notices.find_limit(notice.endpoint, notice.born)
+        limit = self._notices.get_rate_limit(notice.endpoint, notice.born)
         if known is None or limit is None:
             return
         if is_followed or self._get_lease(known).data_centre in led_data_centres:
@@ -275,7 +277,7 @@
             expiry_times = [sent_at + lasts for lasts in row.lasts]
             self._received[data_centre][name] += len(expiry_times)
             known = self._fleet.endpoints.get(name)
-            limit = self._notices.find_limit(name, known.born) if known else None
+            limit = self._notices.get_rate_limit(name, known.born) if known else None
             if limit is None:
                 continue
             if self._leaders.leads:
--- a/src/kestreltally/knowledge/exchange.py
+++ b/src/kestreltally/knowledge/exchange.py
@@ -66,7 +66,7 @@
 from kestreltally.platform.store import NO_REVISION
 from kestreltally.quotas.ledger import Ledger
 from kestreltally.quotas.limiters import Limiter
-from kestreltally.quotas.spending import Word
+from kestreltally.quotas.spending import Throttle
 
 LOG = logging.getLogger("kestreltally.exchange")
 
@@ -232,7 +232,7 @@
         """
         return self._authority.as_of if self._fleet.keys is not None else None
 
-    def _make_throttles(self) -> list[Word] | None:
+    def _make_throttles(self) -> list[Throttle] | None:
         """Return the throttles of organisations at their limit.
 
         None if no API keys are checked.
@@ -300,7 +300,7 @@
         report.uses = [encode_use(e, key, n) for (e, key), n in demand.uses.items()]
         report.refused = [encode_use(e, key, 1) for e, key in demand.pop_refused()]
         report.outcomes = encode_outcomes(self._relay.health.outcomes.take())
-        spendings = self._limiter.take_spendings()
+        spendings = self._limiter.pop_spendings()
         report.spendings = [encode_spending(each) for each in spendings]
 
     def _add_group(self, report: Any, data_centre: str) -> None:
@@ -398,7 +398,9 @@
     def _apply_totals(self, update: Any) -> None:
         """Apply occupancy and daemon count, which only regular updates carry."""
         if update.words is not None:
-            self._limiter.note_words([decode_throttle(row) for row in update.words])
+            self._limiter.apply_throttles(
+                [decode_throttle(row) for row in update.words]
+            )
         self._relay.finder.load_wait = update.load_wait
         if update.in_flight is not None:
             self._relay.finder.remote_occupancy = decode_occupancy(update).minus(
@@ -410,7 +412,7 @@
         """Put a configuration in force unless it is older, and send it to followers."""
         applied = self._fleet.apply_configuration(configuration)
         if applied:
-            self.ledger.take_organisations(configuration.organisations)
+            self.ledger.apply_organisations(configuration.organisations)
         if applied and self.leaders.leads:
             self.feed.expedite()
         return applied
@@ -432,10 +434,10 @@
         for endpoint, key in demand.pop_refused():
             self._group.record_refused(endpoint, key)
         self._group.apply_outcomes(self._relay.health.outcomes.take())
-        self._group.apply_spendings(self._limiter.take_spendings(), of_group=True)
+        self._group.apply_spendings(self._limiter.pop_spendings(), of_group=True)
         throttles = self._make_throttles()
         if throttles is not None:
-            self._limiter.note_words(throttles)
+            self._limiter.apply_throttles(throttles)
         self._sum_totals()
         self._relay.finder.load_wait = self.leader.estimate_load_wait()
         self._record_daemon_count(self.feed.count_daemons())
--- a/src/kestreltally/knowledge/feed.py
+++ b/src/kestreltally/knowledge/feed.py
@@ -28,7 +28,7 @@
     Versions,
     encode_leaders,
 )
-from kestreltally.quotas.spending import Word
+from kestreltally.quotas.spending import Throttle
 from kestreltally.sockets import harden_socket
 
 LOG = logging.getLogger("kestreltally.feed")
@@ -95,7 +95,7 @@
         # Returns whether this daemon leads and has rows to send.
         self.is_leading: Callable[[], bool] = lambda: bool(state().leads)
         # Returns the throttles of organisations at their limit, None without quotas.
-        self.make_throttles: Callable[[], Iterable[Word] | None] = lambda: None
+        self.make_throttles: Callable[[], Iterable[Throttle] | None] = lambda: None
         # Each part reads its fields from reports, and fills those of updates.
         self.parts: Sequence[FeedPart] = ()
         self._server: asyncio.Server | None = None
--- a/src/kestreltally/knowledge/fleet_rows.py
+++ b/src/kestreltally/knowledge/fleet_rows.py
@@ -9,7 +9,7 @@
     EndpointId,
     Seconds,
     WeightsKey,
-    is_other_life,
+    is_other_incarnation,
 )
 from kestreltally.fleet.tables import Fleet
 from kestreltally.knowledge.feed_parts import FeedPart, ReceivedUpdate
@@ -100,11 +100,11 @@
         An engine that restarts under its id has none of its previous weights, and a row
         of an earlier incarnation may arrive late.
         """
-        if not is_other_life(known.born, endpoint.born):
+        if not is_other_incarnation(known.born, endpoint.born):
             return True
         if endpoint.born < known.born:
             return False
-        self._relay.poison.ends.note_replaced(known)
+        self._relay.poison.crashes.record_replaced(known)
         self._fleet.drop_endpoint(known.id)
         self._relay.health.reset(known.id)
         self._relay.finder.prefill_times.remove(known.id)
@@ -115,7 +115,7 @@
         known = self._fleet.endpoints.get(endpoint)
         if known is not None:
             self.tombstones.record(known, as_of)
-            self._relay.poison.ends.note_gone(known)
+            self._relay.poison.crashes.record_removed(known)
         leader = self._get_leader()
         if leader is not None:
             leader.drop_endpoint(endpoint)
@@ -146,7 +146,7 @@
             self._leaders.clients[lease.data_centre].is_alive() and not endpoint.leaving
         ):
             known = self._fleet.endpoints.get(endpoint.id)
-            if known is None or is_other_life(known.born, endpoint.born):
+            if known is None or is_other_incarnation(known.born, endpoint.born):
                 self.put_row(endpoint)
         else:
             self.put_row(endpoint)
--- a/src/kestreltally/knowledge/notices.py
+++ b/src/kestreltally/knowledge/notices.py
@@ -33,4 +33,4 @@
         """Apply the notices of a report, as a leader."""
         if self._leaders.leads:
             received = [decode_notice(each) for each in report.notices or ()]
-            self._notices.take_told(received, self._clock())
+            self._notices.apply_reported(received, self._clock())
--- a/src/kestreltally/knowledge/poison_exchange.py
+++ b/src/kestreltally/knowledge/poison_exchange.py
@@ -43,18 +43,18 @@
 
     def get_leader_secret(self) -> bytes:
         """Return the secret that a leader sends, empty if there is none yet."""
-        return self._poison.secret.lead()
+        return self._poison.secret.get_or_make()
 
     def fill_report(self, report: Any, data_centre: str) -> None:
         """Add the secret, and the facts that the followed leader lacks, to a report."""
         report.secret = self._poison.secret.value
         if report.follows:
-            facts = self._poison.register.news.list_unheard()
+            facts = self._poison.register.fact_log.list_unconfirmed()
             encode_facts(report, facts, self._clock())
 
     def apply_report(self, peer: Peer, report: Any) -> None:
         """Apply the secret and, as a leader, the facts of a report."""
-        self._poison.secret.take(report.secret)
+        self._poison.secret.apply(report.secret)
         if not self._leaders.leads:
             return
         if self._poison.register.record_reported(decode_facts(report, self._clock())):
@@ -62,7 +62,7 @@
 
     def fill_update(self, update: Any, peer: Peer) -> None:
         """Add the facts that were not sent to the daemon yet."""
-        news = self._poison.register.news
+        news = self._poison.register.fact_log
         if peer.sent_facts_position != news.position:
             facts = news.list_since(peer.sent_facts_position)
             encode_facts(update, facts, self._clock())
@@ -70,12 +70,12 @@
 
     def apply_update(self, received: ReceivedUpdate) -> None:
         """Apply the secret and the facts of an update."""
-        self._poison.secret.take(received.update.secret)
+        self._poison.secret.apply(received.update.secret)
         facts = decode_facts(received.update, self._clock())
         if not facts:
             return
         if received.followed:
-            self._poison.register.news.note_echo(facts)
+            self._poison.register.fact_log.record_echo(facts)
         if self._poison.register.record_reported(facts) and self._leaders.leads:
             self._expedite()
 
@@ -85,7 +85,7 @@
         Each daemon waits a random time before it reports the facts of others: the
         leader echoes those of the first daemon, so that the others can omit them.
         """
-        news = self._poison.register.news
-        news.begin_telling()
+        news = self._poison.register.fact_log
+        news.start_reporting()
         wait = random.uniform(*REMAINING_FACTS_DELAY)
-        asyncio.get_running_loop().call_later(wait, news.tell_rest)
+        asyncio.get_running_loop().call_later(wait, news.report_remaining)
--- a/src/kestreltally/knowledge/rows.py
+++ b/src/kestreltally/knowledge/rows.py
@@ -33,7 +33,7 @@
 )
 from kestreltally.poison.facts import Clearing, Fact, Life, Sighting
 from kestreltally.poison.fingerprints import Digest, Fingerprint
-from kestreltally.quotas.spending import Spending, Word
+from kestreltally.quotas.spending import Spending, Throttle
 
 
 def encode_weights(key: WeightsKey, version: int) -> Any:
@@ -218,7 +218,7 @@
     return Spending(OrganisationName(row.organisation), row.asked, row.granted)
 
 
-def encode_throttle(throttle: Word) -> Any:
+def encode_throttle(throttle: Throttle) -> Any:
     """Return the struct of the throttle of an organisation at its limit."""
     return WordRow(
         organisation=throttle.organisation,
@@ -228,9 +228,9 @@
     )
 
 
-def decode_throttle(row: Any) -> Word:
+def decode_throttle(row: Any) -> Throttle:
     """Return the throttle of a struct."""
-    return Word(OrganisationName(row.organisation), row.ratio, row.asked, row.wait)
+    return Throttle(OrganisationName(row.organisation), row.ratio, row.asked, row.wait)
 
 
 def encode_requested(
--- a/src/kestreltally/knowledge/tombstones.py
+++ b/src/kestreltally/knowledge/tombstones.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from kestreltally.fleet.model import Endpoint, EndpointId, Seconds, is_other_life
+from kestreltally.fleet.model import Endpoint, EndpointId, Seconds, is_other_incarnation
 
 # A leader that is the only one to lose the store resigns long before this.
 RETENTION: Final[Seconds] = 60.0
@@ -34,7 +34,7 @@
     def is_removed(self, endpoint: Endpoint, as_of: Seconds) -> bool:
         """Return whether a row as of a time predates the removal of its endpoint."""
         row = self._rows.get(endpoint.id)
-        if row is None or is_other_life(row.born, endpoint.born):
+        if row is None or is_other_incarnation(row.born, endpoint.born):
             return False
         return as_of <= row.as_of
 
--- a/src/kestreltally/placing/books.py
+++ b/src/kestreltally/placing/books.py
@@ -9,7 +9,7 @@
     EngineSpec,
     Seconds,
     WeightsKey,
-    is_other_life,
+    is_other_incarnation,
 )
 from kestreltally.platform.engines import EngineReport
 
@@ -64,7 +64,7 @@
         One of an earlier life of the engine, which had other counts, says nothing.
         """
         self.read_at = now
-        if is_other_life(self.endpoint.born, report.born):
+        if is_other_incarnation(self.endpoint.born, report.born):
             if report.born < self.endpoint.born:
                 return
             self.begin_life(report.born)
--- a/src/kestreltally/placing/leader.py
+++ b/src/kestreltally/placing/leader.py
@@ -18,7 +18,7 @@
     Seconds,
     ServiceName,
     WeightsKey,
-    is_other_life,
+    is_other_incarnation,
 )
 from kestreltally.fleet.tables import Fleet
 from kestreltally.placing.books import EngineBook
@@ -115,9 +115,9 @@
 
     def put_endpoint(self, endpoint: Endpoint) -> None:
         """Take in an endpoint's entry of the store."""
-        endpoint = self._fleet.notices.heed(endpoint)
+        endpoint = self._fleet.notices.apply_to(endpoint)
         book = self.books.get(endpoint.id)
-        if book is not None and is_other_life(book.endpoint.born, endpoint.born):
+        if book is not None and is_other_incarnation(book.endpoint.born, endpoint.born):
             if endpoint.born < book.endpoint.born:
                 return
             # What was loaded, ordered and counted before is no longer so.
@@ -150,7 +150,7 @@
         """Take in that an endpoint has said something of itself."""
         book = self.books.get(endpoint)
         if book is not None:
-            book.endpoint = self._fleet.notices.heed(book.endpoint)
+            book.endpoint = self._fleet.notices.apply_to(book.endpoint)
             self._publish(book.make_row())
         self.wake()
 
@@ -304,8 +304,8 @@
     def _needs_report(self, book: EngineBook, now: Seconds) -> bool:
         if book.endpoint.leaving or now < book.failing_until:
             return False
-        if self._fleet.notices.find_rest(book.endpoint, now):
-            self._fleet.notices.want_turn(book.endpoint, now)
+        if self._fleet.notices.compute_backoff(book.endpoint, now):
+            self._fleet.notices.record_demand(book.endpoint, now)
             return False
         since = now - book.read_at
         if book.sequence is None:
@@ -319,7 +319,7 @@
             and all(key.adapter for key in book.incoming)
             and not book.endpoint.leaving
             and not book.spared
-            and not self._fleet.notices.is_short(book.endpoint, now)
+            and not self._fleet.notices.is_constrained(book.endpoint, now)
             and now >= book.failing_until
         )
 
@@ -383,7 +383,7 @@
         return [
             key
             for key, held in book.weights.items()
-            if held < (self._fleet.newest_version(key) or 0)
+            if held < (self._fleet.get_newest_version(key) or 0)
             and key not in book.incoming
         ]
 
--- a/src/kestreltally/placing/loads.py
+++ b/src/kestreltally/placing/loads.py
@@ -9,7 +9,7 @@
 
 from kestreltally.decisions import Decision, log_decision
 from kestreltally.fleet.model import Endpoint, Seconds, WeightsKey
-from kestreltally.fleet.notices import NotWanted
+from kestreltally.fleet.notices import Unavailable
 from kestreltally.fleet.tables import Fleet
 from kestreltally.placing.books import SILENCES_TO_CLOSE, EngineBook
 from kestreltally.placing.orders import (
@@ -37,7 +37,7 @@
 # and more seldom the longer it lasts. By their mean, loads that are quick again after
 # slow ones would be seen to end as late as those for many loads.
 ASK_PART: Final = 0.85
-ASK_EVERY: Final[Seconds] = 0.025
+ASK_INTERVAL: Final[Seconds] = 0.025
 ASK_LATER_PART: Final = 0.1
 LAST_LOADS: Final = 8
 # A load that was not seen to end after this is taken as failed.
@@ -119,7 +119,7 @@
                 endpoint=book.endpoint.id,
                 reason=str(silent),
             )
-        except (NotHolding, NotWanted):
+        except (NotHolding, Unavailable):
             log_decision(LOG, Decision.ORDER_HELD_BACK)
         finally:
             book.busy = False
@@ -145,7 +145,7 @@
 
     def _end_load(self, book: EngineBook, key: WeightsKey) -> None:
         self._ended_at.append(self._clock())
-        version = self._fleet.newest_version(key) or 1
+        version = self._fleet.get_newest_version(key) or 1
         book.note_held(key, version, self._clock())
         self.publish(book)
 
@@ -162,15 +162,15 @@
         ``age`` is how many drops ago the engine held the adapter, if lately.
         """
         began = self._clock()
-        quick = self._fleet.copies.is_kept(age)
-        await asyncio.sleep(WARM_TIME if quick else ASK_PART * min(self._last_loads))
+        fast = self._fleet.copies.is_retained(age)
+        await asyncio.sleep(WARM_TIME if fast else ASK_PART * min(self._last_loads))
         while key in book.incoming and self._clock() - began < LOAD_GIVEN_UP:
             if not self._is_led(book):
                 return
             if book.sequence is not None:
                 try:
                     outcome = await self._caller.order(book, OrderKind.LOAD, key)
-                except (EngineSilent, NotHolding, NotWanted):
+                except (EngineSilent, NotHolding, Unavailable):
                     book.doubt(self._clock())
                     outcome = OrderOutcome.UNKNOWN
                 if outcome is OrderOutcome.DONE:
@@ -179,16 +179,16 @@
                     self._end_load(book, key)
                     return
             passed = self._clock() - began
-            await asyncio.sleep(max(ASK_EVERY, ASK_LATER_PART * passed))
+            await asyncio.sleep(max(ASK_INTERVAL, ASK_LATER_PART * passed))
         if book.incoming.pop(key, None) is not None:
             log_decision(LOG, Decision.LOAD_NOT_SEEN_TO_END, weights=str(key))
             book.doubt(self._clock())
 
     def _note_load_time(self, took: Seconds, age: int | None) -> None:
-        quick = took < QUICK_PART * min(self._last_loads)
+        fast = took < QUICK_PART * min(self._last_loads)
         if age is not None and took < FAULTY_PART * self.load_time:
-            self._fleet.copies.learn(age, quick=quick)
-        if not quick:
+            self._fleet.copies.record_load(age, fast=fast)
+        if not fast:
             self._last_loads.append(took)
             self.load_time += LOAD_TIME_WEIGHT * (took - self.load_time)
 
@@ -198,7 +198,7 @@
         """Count where an adapter came from."""
         if took < QUICK_PART * min(self._last_loads):
             origin = LoadOrigin.COPY
-        elif self._fleet.copies.is_kept(age):
+        elif self._fleet.copies.is_retained(age):
             origin = LoadOrigin.COPY_GONE
         elif self._fleet.list_copies(book.endpoint.service, key):
             origin = LoadOrigin.COPY_ELSEWHERE
--- a/src/kestreltally/placing/orders.py
+++ b/src/kestreltally/placing/orders.py
@@ -20,7 +20,7 @@
     encode_head,
 )
 from kestreltally.fleet.model import Endpoint, Seconds, WeightsKey
-from kestreltally.fleet.notices import NotWanted
+from kestreltally.fleet.notices import Unavailable
 from kestreltally.placing.books import EngineBook, Incoming
 from kestreltally.placing.lease import Lease
 from kestreltally.platform.documents import MalformedDocument
@@ -92,7 +92,7 @@
         self._calls = 0
 
     async def read_report(self, endpoint: Endpoint) -> EngineReport:
-        """Return an engine's report; raises ``EngineSilent`` or ``NotWanted``."""
+        """Return an engine's report; raises ``EngineSilent`` or ``Unavailable``."""
         status, body = await self._call(endpoint, "GET", REPORT_PATH, b"", None)
         if status != 200:
             raise EngineSilent(f"report: status {status}")
@@ -104,7 +104,7 @@
     async def order(
         self, book: EngineBook, kind: OrderKind, key: WeightsKey
     ) -> OrderOutcome:
-        """Give an order and book its outcome; raises ``EngineSilent``, ``NotWanted``.
+        """Give an order and book its outcome; raises ``EngineSilent``, ``Unavailable``.
 
         To repeat a load is to ask whether it has ended: the engine's answer is of the
         moment, unlike its report, and changes nothing.
@@ -210,7 +210,7 @@
             channel.apply_keep_alive(answer, self._clock())
             keep = True
             return answer.status, content or b""
-        except NotWanted:
+        except Unavailable:
             keep = True
             raise
         except (AnswerLost, AnswerTruncated, TimeoutError) as error:
--- a/src/kestreltally/placing/turns.py
+++ b/src/kestreltally/placing/turns.py
@@ -15,8 +15,12 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from kestreltally.fleet.limits import AHEAD, ALONE_PART, LimitStanding
 from kestreltally.fleet.model import EndpointId, Seconds
+from kestreltally.fleet.rate_limits import (
+    ISOLATED_FRACTION,
+    PREFETCH_URGENCY,
+    RateLimitState,
+)
 from kestreltally.rates import Bucket
 
 # A turn ends so long after it was lent.
@@ -114,7 +118,9 @@
     """Return the terms of who hears some of all daemons, and holds no lease."""
     share = heard / max(1, heard, daemons)
     return Terms(
-        rate=ALONE_PART * rate * share, depth=UNLEASED_DEPTH, least=UNLEASED_LEAST
+        rate=ISOLATED_FRACTION * rate * share,
+        depth=UNLEASED_DEPTH,
+        least=UNLEASED_LEAST,
     )
 
 
@@ -158,7 +164,7 @@
         self._number = 0
 
     def issue(
-        self, endpoint: EndpointId, born: int, limit: LimitStanding, terms: Terms
+        self, endpoint: EndpointId, born: int, limit: RateLimitState, terms: Terms
     ) -> Seconds | None:
         """Lend what may be lent now; return when to look again, none if not."""
         now = self._clock()
@@ -187,7 +193,7 @@
         while (found := self._find_next(endpoint)) is not None:
             urgency, borrower = found
             # Who does not wait for a turn leaves the others for who will.
-            ahead = urgency >= AHEAD
+            ahead = urgency >= PREFETCH_URGENCY
             kept = max(terms.least, terms.depth - 1) if ahead else terms.least
             if bucket.level <= kept:
                 return kept - bucket.level
@@ -196,12 +202,12 @@
         return None
 
     def _tell_wait(
-        self, endpoint: EndpointId, pool: _Pool, limit: LimitStanding, terms: Terms
+        self, endpoint: EndpointId, pool: _Pool, limit: RateLimitState, terms: Terms
     ) -> None:
         """Work out how long one more call waits for its turn, behind those that do."""
         pool.estimated_at = self._clock()
         still = self.sum_open(endpoint)
-        waiting = sum(n for urgency, n in still.items() if urgency < AHEAD)
+        waiting = sum(n for urgency, n in still.items() if urgency < PREFETCH_URGENCY)
         limit.wait = (1 + waiting) / terms.rate if waiting else 0.0
 
     def hand_on(self, endpoint: EndpointId, ends: list[Seconds]) -> None:
--- a/src/kestreltally/placing/views.py
+++ b/src/kestreltally/placing/views.py
@@ -102,7 +102,7 @@
         for endpoint in self.fleet.list_leaving(self.service):
             standing.leaving.update(endpoint.weights)
         # What others hold is brought elsewhere for who may not ask them.
-        for endpoint in self.fleet.list_useful(self.service, self.now):
+        for endpoint in self.fleet.list_usable(self.service, self.now):
             where = endpoint.data_centre
             in_flight = self.occupancy.in_flight.get(endpoint.id, 0)
             for key in endpoint.weights:
--- a/src/kestreltally/platform/headers.py
+++ b/src/kestreltally/platform/headers.py
@@ -8,7 +8,7 @@
 from multidict import MultiMapping
 
 from kestreltally.fleet.model import (
-    SILENT,
+    EMPTY_NOTICE,
     Notice,
     OrganisationName,
     Seconds,
@@ -179,7 +179,7 @@
     leaving = headers.get(_LEAVING, "").strip() == _LEAVING_VALUE
     limit_values = headers.getall(_LIMIT, [])
     if not leaving and not limit_values and status != UNAVAILABLE:
-        return SILENT
+        return EMPTY_NOTICE
     backoff = 0.0
     if status == UNAVAILABLE:
         times = _read_decimals(headers.getall(RETRY_AFTER, []))
@@ -189,8 +189,8 @@
         leaving,
         backoff,
         limit,
-        unclear=bool(limit_values) and limit is None,
-        turns_away=status == UNAVAILABLE and _NOT_RUN in headers and not backoff,
+        malformed=bool(limit_values) and limit is None,
+        rejects=status == UNAVAILABLE and _NOT_RUN in headers and not backoff,
     )
 
 
--- a/src/kestreltally/poison/surface.py
+++ b/src/kestreltally/poison/api.py
@@ -14,26 +14,26 @@
 
 LIST_PATH: Final = "/poison"
 PARDON_PATH: Final = "/poison/pardon"
-SHOWN_ENDS: Final = 2
+MIN_SHOWN_ENDS: Final = 2
 
 Serve = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
 
-class PoisonSurface:
+class PoisonApi:
     """Serves these paths, and leaves all others to another surface."""
 
-    def __init__(self, register: PoisonRegister, others: Serve) -> None:
+    def __init__(self, register: PoisonRegister, fallback: Serve) -> None:
         self._register = register
-        self._others = others
+        self._fallback = fallback
 
     async def serve(self, http: web.BaseRequest) -> web.StreamResponse:
         """Answer an operator."""
         if http.path == LIST_PATH and http.method == "GET":
-            listed = self._register.list_suspects(SHOWN_ENDS)
+            listed = self._register.list_suspects(MIN_SHOWN_ENDS)
             return web.json_response([asdict(each) for each in listed])
         if http.path == PARDON_PATH and http.method == "POST":
             return self._pardon(http.query.get("content", ""))
-        return await self._others(http)
+        return await self._fallback(http)
 
     def _pardon(self, content: str) -> web.Response:
         count = self._register.pardon(content)
--- a/src/kestreltally/poison/ends.py
+++ b/src/kestreltally/poison/crashes.py
@@ -21,8 +21,8 @@
     WITNESS_BITS,
     Life,
     Sighting,
+    format_life,
     make_clearing,
-    name_life,
 )
 from kestreltally.poison.fingerprints import (
     Fingerprint,
@@ -37,23 +37,23 @@
 # An end is known by its address at once, and by its entry within four heartbeats of
 # 1.2 s, or some seconds more where the store is slow; until then requests without a
 # whole answer are remembered.
-REMEMBER_FOR: Final[Seconds] = 12.0
+FLIGHT_RETENTION: Final[Seconds] = 12.0
 # Who has been silent for so long as its entry goes did not leave as planned: those
 # serve on.
-SILENT_FOR: Final[Seconds] = 2.0
+MIN_SILENCE: Final[Seconds] = 2.0
 # An address is asked whether it still takes channels not more often than this.
-ASK_EVERY: Final[Seconds] = 0.3
+ASK_INTERVAL: Final[Seconds] = 0.3
 ASK_TIMEOUT: Final[Seconds] = 0.5
 # A longer body is not kept until it is known whether its digest is needed, bytes.
-BODY_KEPT: Final = 2**16
+MAX_KEPT_BODY: Final = 2**16
 
 
 @dataclass(slots=True, eq=False)
-class Flight:
+class Attempt:
     """A request at an endpoint, from its sending to the end of its answer.
 
-    ``answered`` tells that some of its answer was good; ``broke`` that its channel
-    broke off; ``whole`` that the endpoint gave a whole answer, or did not run it.
+    ``answered`` tells that some of its answer was good; ``broken_off`` that its channel
+    broke off; ``complete`` that the endpoint gave a whole answer, or did not run it.
     """
 
     request: ClientRequest | None
@@ -62,31 +62,31 @@
     sent_at: Seconds
     fingerprint: Fingerprint | None = None
     answered: bool = False
-    broke: bool = False
-    whole: bool = False
-    over_at: Seconds | None = None
+    broken_off: bool = False
+    complete: bool = False
+    finished_at: Seconds | None = None
 
 
-class EndWatch:
+class CrashDetector:
     """Keeps this daemon's requests by endpoint, and tells the register of ends."""
 
     def __init__(
         self,
         register: PoisonRegister,
         secret: SharedSecret,
-        heard_at: Callable[[EndpointId], Seconds],
+        received_at: Callable[[EndpointId], Seconds],
         clock: Callable[[], Seconds],
     ) -> None:
         self._register = register
         self._secret = secret
-        self._heard_at = heard_at
+        self._received_at = received_at
         self._clock = clock
-        self._flights: dict[EndpointId, set[Flight]] = defaultdict(set)
-        self._asked_at: dict[EndpointId, Seconds] = {}
-        self._asking: set[asyncio.Task[None]] = set()
+        self._attempts: dict[EndpointId, set[Attempt]] = defaultdict(set)
+        self._probed_at: dict[EndpointId, Seconds] = {}
+        self._probes: set[asyncio.Task[None]] = set()
         self._witness = randbits(WITNESS_BITS)
         # Returns an endpoint that is listed and does not leave.
-        self.find_staying: Callable[[EndpointId], Endpoint | None] = lambda _: None
+        self.get_serving: Callable[[EndpointId], Endpoint | None] = lambda _: None
 
     # What happens to requests.
 
@@ -98,69 +98,71 @@
             return None
         return make_fingerprint(request, self._secret.value)
 
-    def begin(self, request: ClientRequest, endpoint: Endpoint) -> Flight:
+    def start(self, request: ClientRequest, endpoint: Endpoint) -> Attempt:
         """Note that a request is sent."""
-        flight = Flight(request, endpoint, name_life(endpoint), self._clock())
-        self._flights[endpoint.id].add(flight)
-        return flight
+        attempt = Attempt(request, endpoint, format_life(endpoint), self._clock())
+        self._attempts[endpoint.id].add(attempt)
+        return attempt
 
-    def end(self, flight: Flight) -> None:
+    def end(self, attempt: Attempt) -> None:
         """Note that a request is over at its endpoint, whatever came of it."""
-        flight.over_at = self._clock()
-        if flight.whole:
-            self._drop(flight)
-            self._clear(flight)
+        attempt.finished_at = self._clock()
+        if attempt.complete:
+            self._drop(attempt)
+            self._clear_suspicion(attempt)
             return
-        if flight.broke or (flight.request and len(flight.request.body) > BODY_KEPT):
-            self._digest(flight)
-        if flight.broke:
-            self._ask(flight.endpoint)
-
-    def _digest(self, flight: Flight) -> Fingerprint | None:
+        if attempt.broken_off or (
+            attempt.request and len(attempt.request.body) > MAX_KEPT_BODY
+        ):
+            self._digest(attempt)
+        if attempt.broken_off:
+            self._start_probe(attempt.endpoint)
+
+    def _digest(self, attempt: Attempt) -> Fingerprint | None:
         """Return the fingerprint of a request, whose body is then let go of."""
-        if flight.request is not None and self._secret.value:
-            flight.fingerprint = make_fingerprint(flight.request, self._secret.value)
-            flight.request = None
-        return flight.fingerprint
+        if attempt.request is not None and self._secret.value:
+            attempt.fingerprint = make_fingerprint(attempt.request, self._secret.value)
+            attempt.request = None
+        return attempt.fingerprint
 
-    def _clear(self, flight: Flight) -> None:
+    def _clear_suspicion(self, attempt: Attempt) -> None:
         """Void what counts against a request that ran well."""
-        if flight.request is None or not flight.answered:
+        if attempt.request is None or not attempt.answered:
             return
-        fingerprint = self.identify(flight.request)
+        fingerprint = self.identify(attempt.request)
         if fingerprint is not None and self._register.is_suspect(fingerprint.digest):
-            self._register.note_own([make_clearing(fingerprint, self._clock())])
+            self._register.record_local([make_clearing(fingerprint, self._clock())])
 
-    def _drop(self, flight: Flight) -> None:
-        flights = self._flights.get(flight.endpoint.id)
-        if flights is None:
+    def _drop(self, attempt: Attempt) -> None:
+        attempts = self._attempts.get(attempt.endpoint.id)
+        if attempts is None:
             return
-        flights.discard(flight)
-        if not flights:
-            del self._flights[flight.endpoint.id]
+        attempts.discard(attempt)
+        if not attempts:
+            del self._attempts[attempt.endpoint.id]
 
     def prune_old(self) -> None:
         """Drop requests that were over long ago, and what was asked of addresses."""
-        oldest = self._clock() - REMEMBER_FOR
-        for flights in list(self._flights.values()):
-            for flight in list(flights):
-                if flight.over_at is not None and flight.over_at < oldest:
-                    self._drop(flight)
-        self._asked_at = {k: at for k, at in self._asked_at.items() if at > oldest}
+        oldest = self._clock() - FLIGHT_RETENTION
+        for attempts in list(self._attempts.values()):
+            for attempt in list(attempts):
+                if attempt.finished_at is not None and attempt.finished_at < oldest:
+                    self._drop(attempt)
+        self._probed_at = {k: at for k, at in self._probed_at.items() if at > oldest}
 
     # What happens to endpoints.
 
-    def _ask(self, endpoint: Endpoint) -> None:
+    def _start_probe(self, endpoint: Endpoint) -> None:
         """Find out whether an endpoint has ended where a request broke off."""
         now = self._clock()
-        if now - self._asked_at.get(endpoint.id, float("-inf")) < ASK_EVERY:
+        if now - self._probed_at.get(endpoint.id, float("-inf")) < ASK_INTERVAL:
             return
-        self._asked_at[endpoint.id] = now
-        task = asyncio.create_task(self._ask_address(endpoint))
-        self._asking.add(task)
-        task.add_done_callback(self._asking.discard)
+        self._probed_at[endpoint.id] = now
+        task = asyncio.create_task(self._probe_address(endpoint))
+        self._probes.add(task)
+        task.add_done_callback(self._probes.discard)
 
-    async def _ask_address(self, endpoint: Endpoint) -> None:
+    async def _probe_address(self, endpoint: Endpoint) -> None:
         try:
             async with asyncio.timeout(ASK_TIMEOUT):
                 _, writer = await asyncio.open_connection(endpoint.host, endpoint.port)
@@ -173,35 +175,35 @@
 
     def record_refused(self, endpoint: Endpoint) -> None:
         """Take in that an endpoint's address takes no channel."""
-        if self._flights.get(endpoint.id):
+        if self._attempts.get(endpoint.id):
             self._record_end(endpoint, "refuses channels")
 
-    def note_gone(self, endpoint: Endpoint) -> None:
+    def record_removed(self, endpoint: Endpoint) -> None:
         """Take in that an endpoint's entry went; it is still listed here."""
-        silent = self._clock() - self._heard_at(endpoint.id) > SILENT_FOR
-        if silent and self._flights.get(endpoint.id):
+        silent = self._clock() - self._received_at(endpoint.id) > MIN_SILENCE
+        if silent and self._attempts.get(endpoint.id):
             self._record_end(endpoint, "silent, and its entry went")
 
-    def note_replaced(self, endpoint: Endpoint) -> None:
+    def record_replaced(self, endpoint: Endpoint) -> None:
         """Take in that another start answers in place of an endpoint."""
-        if self._flights.get(endpoint.id):
+        if self._attempts.get(endpoint.id):
             self._record_end(endpoint, "started anew")
 
     def _record_end(self, endpoint: Endpoint, cause: str) -> None:
         """Tell which requests were at an endpoint that ended otherwise than planned."""
-        if self.find_staying(endpoint.id) is None:
+        if self.get_serving(endpoint.id) is None:
             return
-        life = name_life(endpoint)
-        at_end = [
-            flight
-            for flight in self._flights.get(endpoint.id, ())
-            if flight.life == life and self._was_at_end(flight)
+        life = format_life(endpoint)
+        running = [
+            attempt
+            for attempt in self._attempts.get(endpoint.id, ())
+            if attempt.life == life and self._was_running_at_end(attempt)
         ]
-        sightings = [each for each in map(self._make_sighting, at_end) if each]
-        for flight in at_end:
-            if flight.over_at is not None:
-                self._drop(flight)
-        if not self._register.note_own(sightings):
+        sightings = [each for each in map(self._make_sighting, running) if each]
+        for attempt in running:
+            if attempt.finished_at is not None:
+                self._drop(attempt)
+        if not self._register.record_local(sightings):
             return
         log_decision(
             LOG,
@@ -212,29 +214,29 @@
             content=[str(each.fingerprint) for each in sightings],
         )
 
-    def _was_at_end(self, flight: Flight) -> bool:
+    def _was_running_at_end(self, attempt: Attempt) -> bool:
         """Tell whether nothing was heard of an endpoint since a request was over."""
-        if flight.over_at is None:
+        if attempt.finished_at is None:
             return True
-        return flight.over_at >= self._heard_at(flight.endpoint.id)
+        return attempt.finished_at >= self._received_at(attempt.endpoint.id)
 
-    def _make_sighting(self, flight: Flight) -> Sighting | None:
-        fingerprint = self._digest(flight)
+    def _make_sighting(self, attempt: Attempt) -> Sighting | None:
+        fingerprint = self._digest(attempt)
         if fingerprint is None:
             return None
-        heard_at = max(flight.sent_at, self._heard_at(flight.endpoint.id))
-        ended_at = heard_at if flight.over_at is None else flight.over_at
+        received_at = max(attempt.sent_at, self._received_at(attempt.endpoint.id))
+        ended_at = received_at if attempt.finished_at is None else attempt.finished_at
         return Sighting(
             fingerprint,
-            flight.life,
-            flight.sent_at,
+            attempt.life,
+            attempt.sent_at,
             ended_at,
-            flight.answered,
+            attempt.answered,
             self._witness,
         )
 
     def clear(self) -> None:
         """Forget digests that were made under another secret."""
-        for flights in self._flights.values():
-            for flight in flights:
-                flight.fingerprint = None
+        for attempts in self._attempts.values():
+            for attempt in attempts:
+                attempt.fingerprint = None
--- a/src/kestreltally/poison/facts.py
+++ b/src/kestreltally/poison/facts.py
@@ -18,7 +18,7 @@
 WITNESS_BITS: Final = 31
 
 
-def name_life(endpoint: Endpoint) -> Life:
+def format_life(endpoint: Endpoint) -> Life:
     """Return the name of an endpoint's present start."""
     return Life(f"{endpoint.id}@{endpoint.born}" if endpoint.born else endpoint.id)
 
--- a/src/kestreltally/poison/guard.py
+++ b/src/kestreltally/poison/guard.py
@@ -5,7 +5,7 @@
 
 from kestreltally.entry.request import ClientRequest
 from kestreltally.fleet.model import EndpointId, Seconds
-from kestreltally.poison.ends import EndWatch
+from kestreltally.poison.crashes import CrashDetector
 from kestreltally.poison.register import Block, PoisonRegister
 from kestreltally.poison.secret import SharedSecret
 
@@ -17,27 +17,29 @@
 class PoisonGuard:
     """The watch for ends, the register of suspects, and the secret they share."""
 
-    def __init__(self, heard_at: Callable[[EndpointId], Seconds]) -> None:
+    def __init__(self, received_at: Callable[[EndpointId], Seconds]) -> None:
         self.secret = SharedSecret(_read_clock, self._forget_digests)
         self.register = PoisonRegister(_read_clock)
-        self.ends = EndWatch(self.register, self.secret, heard_at, _read_clock)
+        self.crashes = CrashDetector(
+            self.register, self.secret, received_at, _read_clock
+        )
 
     def find_block(self, request: ClientRequest) -> Block | None:
         """Return why a request may not run now, if it may not.
 
         Asked before each send: whatever the attempt, a send counts before it leaves.
         """
-        fingerprint = self.ends.identify(request)
+        fingerprint = self.crashes.identify(request)
         if fingerprint is None:
             return None
         return self.register.find_block(fingerprint.digest)
 
     def run_maintenance(self) -> None:
         """Give the verdicts that are due, and forget what no longer counts."""
-        self.register.judge()
-        self.ends.prune_old()
+        self.register.evaluate()
+        self.crashes.prune_old()
         self.register.prune_old()
 
     def _forget_digests(self) -> None:
         self.register.clear()
-        self.ends.clear()
+        self.crashes.clear()
--- a/src/kestreltally/poison/keeping.py
+++ b/src/kestreltally/poison/persistence.py
@@ -31,7 +31,7 @@
 POISON_KIND: Final = "kestreltally-poison"
 POLL_INTERVAL: Final[Seconds] = 0.5
 # A store that does not answer is asked again after this.
-RETRY_AFTER: Final[Seconds] = 2.0
+RETRY_DELAY: Final[Seconds] = 2.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
     )
 
 
-class PoisonKeeper:
+class PoisonPersistence:
     """Reads what was stopped as this daemon begins to lead, and writes what is."""
 
     def __init__(
@@ -93,17 +93,17 @@
         name: str,
         leads: Callable[[], bool],
         clock: Callable[[], Seconds],
-        wall: Callable[[], Seconds],
+        wall_clock: Callable[[], Seconds],
     ) -> None:
         self._store = store
         self._poison = poison
         self._name = name
         self._leads = leads
         self._clock = clock
-        self._wall_clock = wall
+        self._wall_clock = wall_clock
         self._revision: Revision | None = None
         self._era = UNKNOWN_ERA
-        self._kept: frozenset[tuple[Digest, Life]] | None = frozenset()
+        self._stored: frozenset[tuple[Digest, Life]] | None = frozenset()
         self._has_read = False
 
     async def run(self) -> None:
@@ -117,7 +117,7 @@
                 await self._step()
             except StoreError as error:
                 log_decision(LOG, Decision.POISON_NOT_KEPT, reason=str(error))
-                await asyncio.sleep(RETRY_AFTER)
+                await asyncio.sleep(RETRY_DELAY)
 
     async def _step(self) -> None:
         if self._era != self._store.era:
@@ -126,11 +126,13 @@
         if not self._has_read:
             await self._read()
             self._has_read = True
-            self._poison.secret.has_looked = True
+            self._poison.secret.store_checked = True
         sightings = self._poison.register.list_stopped()
-        marks = frozenset((each.fingerprint.digest, each.life) for each in sightings)
-        if marks != self._kept and await self._write(sightings):
-            self._kept = marks
+        stopped_ends = frozenset(
+            (each.fingerprint.digest, each.life) for each in sightings
+        )
+        if stopped_ends != self._stored and await self._write(sightings):
+            self._stored = stopped_ends
 
     async def _read(self) -> None:
         """Take in what any leader has kept."""
@@ -140,17 +142,17 @@
         for stored in listing.objects:
             if stored.name == self._name:
                 self._revision = stored.revision
-            self._take(stored)
+            self._apply(stored)
         # What stands under this name is written anew.
-        self._kept = frozenset() if self._revision is None else None
+        self._stored = frozenset() if self._revision is None else None
 
-    def _take(self, stored: StoredObject) -> None:
+    def _apply(self, stored: StoredObject) -> None:
         try:
             record = Record.decode(stored.content)
         except FORMAT_ERRORS as error:
             log_decision(LOG, Decision.POISON_NOT_KEPT, reason=repr(error))
             return
-        self._poison.secret.take(record.secret)
+        self._poison.secret.apply(record.secret)
         if record.secret == self._poison.secret.value:
             shift = self._clock() - self._wall_clock()
             self._poison.register.record_reported(_shift(record.sightings, shift))
@@ -158,8 +160,8 @@
     async def _write(self, sightings: list[Sighting]) -> bool:
         """Write what is stopped; tell whether it was written."""
         shift = self._wall_clock() - self._clock()
-        kept = tuple(_shift(sightings, shift))
-        content = Record(self._poison.secret.value, kept).encode()
+        shifted = tuple(_shift(sightings, shift))
+        content = Record(self._poison.secret.value, shifted).encode()
         try:
             if self._revision is None:
                 stored = await self._store.create(POISON_KIND, self._name, content)
--- a/src/kestreltally/poison/register.py
+++ b/src/kestreltally/poison/register.py
@@ -13,10 +13,10 @@
 
 from kestreltally.decisions import Decision, log_decision
 from kestreltally.fleet.model import Seconds
+from kestreltally.poison.factlog import FactLog
 from kestreltally.poison.facts import Clearing, Fact, Life, Sighting, make_clearing
 from kestreltally.poison.fingerprints import Digest, Fingerprint
-from kestreltally.poison.news import News
-from kestreltally.poison.suspects import MEMORY, Suspect
+from kestreltally.poison.suspects import SIGHTING_RETENTION, Suspect
 
 LOG = logging.getLogger("kestreltally.poison")
 
@@ -25,18 +25,18 @@
 ENDS_TO_STOP: Final = 3
 # What other daemons have to say of an end is awaited for this long: a word takes some
 # 0.15 s over two leaders. Until then the request is held back.
-SETTLE: Final[Seconds] = 0.3
+SETTLE_TIME: Final[Seconds] = 0.3
 # What would end an engine today may run well on its next version: a request is stopped
 # for this long at first, and may then run; each end more doubles it. With a fixed time
 # it would end three engines in each such span.
-STOP_FIRST: Final[Seconds] = 900.0
-STOP_MOST: Final[Seconds] = 8 * 3600.0
+INITIAL_STOP_TIME: Final[Seconds] = 900.0
+MAX_STOP_TIME: Final[Seconds] = 8 * 3600.0
 # Suspects and sightings kept at the most, some 0.3 kB each, and requests that are
 # stopped among them, which others never push out.
-SIGHTINGS_MOST: Final = 2_048
-STOPPED_MOST: Final = 256
+MAX_SIGHTINGS: Final = 2_048
+MAX_STOPPED: Final = 256
 # Clearings whose numbers are remembered, so that none is taken in twice.
-CLEARINGS_MOST: Final = 4_096
+MAX_CLEARINGS: Final = 4_096
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,10 +70,10 @@
         self._clock = clock
         self._suspects: OrderedDict[Digest, Suspect] = OrderedDict()
         self._outlines: dict[int, set[Digest]] = {}
-        self._count = 0
+        self._entry_count = 0
         self._stopped: set[Digest] = set()
         self._clearings: dict[int, None] = {}
-        self.news = News(clock)
+        self.fact_log = FactLog(clock)
         # Called when there is something to tell.
         self.notify_change: Callable[[], None] = lambda: None
 
@@ -96,17 +96,17 @@
         now = self._clock()
         ends = suspect.list_ends(now)
         content = str(suspect.fingerprint)
-        if len(ends) < ENDS_TO_STOP or self._is_explained(suspect, now):
-            self._note_verdict(suspect, len(ends), stopped=False)
+        if len(ends) < ENDS_TO_STOP or self._is_explained_by_other(suspect, now):
+            self._record_verdict(suspect, len(ends), stopped=False)
             return None
-        unsettled = suspect.noted_at + SETTLE - now
+        unsettled = suspect.recorded_at + SETTLE_TIME - now
         if unsettled > 0:
             return Block(content, len(ends), unsettled, settled=False)
-        self._note_verdict(suspect, len(ends), stopped=True)
-        wait = ends[-1].ended_at + _find_stop_time(len(ends)) - now
+        self._record_verdict(suspect, len(ends), stopped=True)
+        wait = ends[-1].ended_at + _compute_stop_time(len(ends)) - now
         return Block(content, len(ends), wait, settled=True) if wait > 0 else None
 
-    def judge(self) -> None:
+    def evaluate(self) -> None:
         """Give the verdicts that are due, also where nobody asks for them."""
         due = [
             digest
@@ -116,22 +116,22 @@
         for digest in due:
             self.find_block(digest)
 
-    def _is_explained(self, suspect: Suspect, now: Seconds) -> bool:
+    def _is_explained_by_other(self, suspect: Suspect, now: Seconds) -> bool:
         """Tell whether another request was at all the same ends, and rather made them.
 
         That is one at more ends, or one that fewer events had come of.
         """
         lives = {each.life for each in suspect.list_valid(now)}
-        weight = suspect.weigh(now)
+        own_score = suspect.score(now)
         return any(
             lives <= {each.life for each in other.list_valid(now)}
             and len(other.list_ends(now)) >= ENDS_TO_STOP
-            and other.weigh(now) > weight
+            and other.score(now) > own_score
             for other in self._suspects.values()
             if other is not suspect and len(other.sightings) >= len(lives)
         )
 
-    def _note_verdict(self, suspect: Suspect, ends: int, *, stopped: bool) -> None:
+    def _record_verdict(self, suspect: Suspect, ends: int, *, stopped: bool) -> None:
         digest = suspect.fingerprint.digest
         if stopped == (digest in self._stopped):
             return
@@ -147,9 +147,9 @@
             lives=sorted(suspect.sightings),
         )
 
-    def list_suspects(self, least: int = 1) -> list[Standing]:
+    def list_suspects(self, min_ends: int = 1) -> list[Standing]:
         """Return the requests that were at so many ends, the worst first."""
-        self.judge()
+        self.evaluate()
         now = self._clock()
         found = [
             Standing(
@@ -160,20 +160,20 @@
                 last_ended=now - ends[-1].ended_at,
             )
             for digest, suspect in self._suspects.items()
-            if len(ends := suspect.list_ends(now)) >= least
+            if len(ends := suspect.list_ends(now)) >= min_ends
         ]
         return sorted(found, key=lambda each: each.ends, reverse=True)
 
     def list_stopped(self) -> list[Sighting]:
         """Return the ends for which requests are stopped."""
-        self.judge()
+        self.evaluate()
         now = self._clock()
         stopped = [self._suspects[digest] for digest in sorted(self._stopped)]
         return [end for suspect in stopped for end in suspect.list_ends(now)]
 
     def count(self) -> dict[str, float]:
         """Return how many requests are known, by what is held of them."""
-        self.judge()
+        self.evaluate()
         return {
             "suspected": float(len(self._suspects) - len(self._stopped)),
             "stopped": float(len(self._stopped)),
@@ -181,18 +181,18 @@
 
     # What it is told.
 
-    def note_own(self, facts: Iterable[Fact]) -> bool:
+    def record_local(self, facts: Iterable[Fact]) -> bool:
         """Take in what this daemon has seen, and tell the others if it is news."""
-        news = [fact for fact in facts if self._add(fact)]
-        self.news.add_own(news)
-        for fact in news:
+        added = [fact for fact in facts if self._add(fact)]
+        self.fact_log.add_local(added)
+        for fact in added:
             if isinstance(fact, Sighting):
-                self._tell_suspicion(fact)
-        if news:
+                self._log_suspicion(fact)
+        if added:
             self.notify_change()
-        return bool(news)
+        return bool(added)
 
-    def _tell_suspicion(self, seen: Sighting) -> None:
+    def _log_suspicion(self, seen: Sighting) -> None:
         """Log that a request was at more than one end.
 
         Only who saw it does: all daemons would make a line of each request at each end,
@@ -223,7 +223,7 @@
             for digest, suspect in self._suspects.items()
             if shown and digest.hex().startswith(shown) and suspect.list_valid(now)
         ]
-        self.note_own(
+        self.record_local(
             make_clearing(self._suspects[digest].fingerprint, now) for digest in named
         )
         return len(named)
@@ -234,8 +234,8 @@
         self._outlines.clear()
         self._stopped.clear()
         self._clearings.clear()
-        self.news.clear()
-        self._count = 0
+        self.fact_log.clear()
+        self._entry_count = 0
 
     def _add(self, fact: Fact) -> bool:
         """Take a fact in; tell whether it is news."""
@@ -245,21 +245,21 @@
         digest = fact.fingerprint.digest
         suspect = self._suspects.get(digest)
         if suspect is None:
-            suspect = self._open_case(fact.fingerprint)
-        if fact.life in suspect.sightings or fact.ended_at <= now - MEMORY:
+            suspect = self._add_suspect(fact.fingerprint)
+        if fact.life in suspect.sightings or fact.ended_at <= now - SIGHTING_RETENTION:
             return False
         suspect.sightings[fact.life] = fact
-        suspect.noted_at = now
+        suspect.recorded_at = now
         self._suspects.move_to_end(digest)
-        self._count += 1
-        self.news.add(fact)
-        self._make_room()
+        self._entry_count += 1
+        self.fact_log.add(fact)
+        self._evict()
         return True
 
-    def _open_case(self, fingerprint: Fingerprint) -> Suspect:
+    def _add_suspect(self, fingerprint: Fingerprint) -> Suspect:
         suspect = self._suspects[fingerprint.digest] = Suspect(fingerprint)
         self._outlines.setdefault(fingerprint.outline, set()).add(fingerprint.digest)
-        self._count += 1
+        self._entry_count += 1
         return suspect
 
     def _add_clearing(self, fact: Clearing) -> bool:
@@ -267,38 +267,38 @@
         if fact.number in self._clearings:
             return False
         self._clearings[fact.number] = None
-        while len(self._clearings) > CLEARINGS_MOST:
+        while len(self._clearings) > MAX_CLEARINGS:
             del self._clearings[next(iter(self._clearings))]
         digest = fact.fingerprint.digest
-        suspect = self._suspects.get(digest) or self._open_case(fact.fingerprint)
+        suspect = self._suspects.get(digest) or self._add_suspect(fact.fingerprint)
         suspect.cleared_at = max(suspect.cleared_at, fact.at)
-        self.news.add(fact)
+        self.fact_log.add(fact)
         self.find_block(digest)
         return True
 
-    def _make_room(self) -> None:
+    def _evict(self) -> None:
         """Forget those at the fewest ends first, the oldest among them."""
-        while len(self._stopped) > STOPPED_MOST:
-            self._forget(next(each for each in self._suspects if each in self._stopped))
-        while self._count > SIGHTINGS_MOST:
-            self._forget(self._find_least())
+        while len(self._stopped) > MAX_STOPPED:
+            self._remove(next(each for each in self._suspects if each in self._stopped))
+        while self._entry_count > MAX_SIGHTINGS:
+            self._remove(self._choose_eviction())
 
-    def _find_least(self) -> Digest:
+    def _choose_eviction(self) -> Digest:
         """Return the suspect that was at the fewest ends, the oldest among them."""
         open_cases = {
             digest: len(suspect.sightings)
             for digest, suspect in self._suspects.items()
             if digest not in self._stopped
         }
-        for most in range(1, ENDS_TO_STOP):
+        for max_ends in range(1, ENDS_TO_STOP):
             for digest, ends in open_cases.items():
-                if ends <= most:
+                if ends <= max_ends:
                     return digest
         return next(iter(open_cases or self._suspects))
 
-    def _forget(self, digest: Digest) -> None:
+    def _remove(self, digest: Digest) -> None:
         suspect = self._suspects.pop(digest)
-        self._count -= 1 + len(suspect.sightings)
+        self._entry_count -= 1 + len(suspect.sightings)
         self._stopped.discard(digest)
         known = self._outlines[suspect.fingerprint.outline]
         known.discard(digest)
@@ -308,14 +308,14 @@
     def prune_old(self) -> None:
         """Forget what no longer counts."""
         now = self._clock()
-        self.news.prune_old()
+        self.fact_log.prune_old()
         for digest, suspect in list(self._suspects.items()):
             ends = (each.ended_at for each in suspect.sightings.values())
-            if max(ends, default=suspect.cleared_at) <= now - MEMORY:
-                self._note_verdict(suspect, 0, stopped=False)
-                self._forget(digest)
+            if max(ends, default=suspect.cleared_at) <= now - SIGHTING_RETENTION:
+                self._record_verdict(suspect, 0, stopped=False)
+                self._remove(digest)
 
 
-def _find_stop_time(ends: int) -> Seconds:
+def _compute_stop_time(ends: int) -> Seconds:
     """Return how long after its last end a request is stopped."""
-    return min(STOP_MOST, STOP_FIRST * 2.0 ** (ends - ENDS_TO_STOP))
+    return min(MAX_STOP_TIME, INITIAL_STOP_TIME * 2.0 ** (ends - ENDS_TO_STOP))
--- a/src/kestreltally/poison/secret.py
+++ b/src/kestreltally/poison/secret.py
@@ -15,8 +15,8 @@
 
 # A daemon hears of others within half a second of its start, and of what was kept in
 # the store with its first call as a leader; where the store is away, not at all.
-MAKE_AFTER: Final[Seconds] = 1.0
-MAKE_BLIND_AFTER: Final[Seconds] = 5.0
+MAKE_DELAY: Final[Seconds] = 1.0
+MAKE_DELAY_WITHOUT_STORE: Final[Seconds] = 5.0
 
 
 class SharedSecret:
@@ -25,27 +25,27 @@
     def __init__(
         self,
         clock: Callable[[], Seconds],
-        note_changed: Callable[[], None] = lambda: None,
+        notify_changed: Callable[[], None] = lambda: None,
     ) -> None:
         self._clock = clock
-        self._note_changed = note_changed
+        self._notify_changed = notify_changed
         self._since = clock()
         self.value = b""
         # Set once the store has told what was kept.
-        self.has_looked = False
+        self.store_checked = False
 
-    def lead(self) -> bytes:
+    def get_or_make(self) -> bytes:
         """Return the secret that a leader tells, made when nobody has told one."""
-        wait = MAKE_AFTER if self.has_looked else MAKE_BLIND_AFTER
+        wait = MAKE_DELAY if self.store_checked else MAKE_DELAY_WITHOUT_STORE
         if not self.value and self._clock() - self._since >= wait:
             self.value = token_bytes(SECRET_BYTES)
         return self.value
 
-    def take(self, told: bytes | None) -> None:
+    def apply(self, reported: bytes | None) -> None:
         """Take another daemon's secret in: of two that were made, the lowest holds."""
-        if not told or (self.value and told >= self.value):
+        if not reported or (self.value and reported >= self.value):
             return
         changed = bool(self.value)
-        self.value = told
+        self.value = reported
         if changed:
-            self._note_changed()
+            self._notify_changed()
--- a/src/kestreltally/poison/suspects.py
+++ b/src/kestreltally/poison/suspects.py
@@ -9,9 +9,9 @@
 
 # Two ends that two daemons date closer together are not told apart: what one tells
 # another arrives some ms after its age was written.
-DATED_WITHIN: Final[Seconds] = 0.05
+DATE_TOLERANCE: Final[Seconds] = 0.05
 # After this nothing is known of an end.
-MEMORY: Final[Seconds] = 24 * 3600.0
+SIGHTING_RETENTION: Final[Seconds] = 24 * 3600.0
 
 
 @dataclass(slots=True)
@@ -21,11 +21,11 @@
     fingerprint: Fingerprint
     sightings: dict[Life, Sighting] = field(default_factory=dict)
     cleared_at: Seconds = float("-inf")
-    noted_at: Seconds = float("-inf")
+    recorded_at: Seconds = float("-inf")
 
     def list_valid(self, now: Seconds) -> list[Sighting]:
         """Return what still counts, by the end's time."""
-        since = max(self.cleared_at, now - MEMORY)
+        since = max(self.cleared_at, now - SIGHTING_RETENTION)
         valid = [each for each in self.sightings.values() if each.ended_at > since]
         return sorted(valid, key=lambda each: each.ended_at)
 
@@ -41,16 +41,16 @@
                 ends.append(each)
         return ends
 
-    def weigh(self, now: Seconds) -> tuple[int, int, Digest]:
+    def score(self, now: Seconds) -> tuple[int, int, Digest]:
         """Return how much speaks against it, to be compared with another's."""
         valid = self.list_valid(now)
-        silent = sum(1 for each in valid if not each.answered)
-        return len(valid), silent, self.fingerprint.digest
+        unanswered = sum(1 for each in valid if not each.answered)
+        return len(valid), unanswered, self.fingerprint.digest
 
 
 def _comes_after(later: Sighting, earlier: Sighting) -> bool:
     """Tell whether a request was sent again after an end, and then met another."""
     if later.witness == earlier.witness:
         return later.sent_at >= earlier.ended_at
-    sent_again = later.sent_at >= earlier.ended_at - DATED_WITHIN
-    return sent_again and later.ended_at >= earlier.ended_at + DATED_WITHIN
+    sent_again = later.sent_at >= earlier.ended_at - DATE_TOLERANCE
+    return sent_again and later.ended_at >= earlier.ended_at + DATE_TOLERANCE
--- a/src/kestreltally/quotas/grants.py
+++ b/src/kestreltally/quotas/grants.py
@@ -12,7 +12,7 @@
 from kestreltally.fleet.model import Quota, Seconds
 
 # This part of what may run in a window is granted evenly, the rest at once.
-EVEN_PART: Final = 0.7
+STEADY_FRACTION: Final = 0.7
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,13 +35,13 @@
     overage: float = 0.0
     slack: float = 0.0
 
-    def find_most(self, quota: Quota) -> float:
+    def compute_max_units(self, quota: Quota) -> float:
         """Return the units that may run in a window."""
         allowed = quota.rate * self.window + quota.burst
         return allowed * (1.0 + self.overage) + self.slack
 
-    def find_grant(self, quota: Quota) -> Grant:
+    def compute_grant(self, quota: Quota) -> Grant:
         """Return what is granted: together it never passes what may run."""
-        most = self.find_most(quota)
-        rate = max(quota.rate, EVEN_PART * most / self.window)
-        return Grant(rate, most - rate * self.window)
+        max_units = self.compute_max_units(quota)
+        rate = max(quota.rate, STEADY_FRACTION * max_units / self.window)
+        return Grant(rate, max_units - rate * self.window)
--- a/src/kestreltally/quotas/ledger.py
+++ b/src/kestreltally/quotas/ledger.py
@@ -13,43 +13,43 @@
 
 from kestreltally.fleet.model import Organisation, OrganisationName, Seconds
 from kestreltally.quotas.grants import Grant, QuotaBounds
-from kestreltally.quotas.spending import SHARE_TIME, Spending, Word
+from kestreltally.quotas.spending import SHARE_AVERAGE_TIME, Spending, Throttle
 from kestreltally.rates import RateMeter
 
 # An organisation spends freely while less than this part of what it may spend at once
 # is used up. What it asks for in the 0.5 s until all daemons know better comes on top,
 # and so do large requests.
-FREE_PART: Final = 0.3
+FREE_FRACTION: Final = 0.3
 # What the ratio steers to, as a part of that, and within which time.
-HELD_PART: Final = 0.5
-STEER_TIME: Final[Seconds] = 1.0
+TARGET_FRACTION: Final = 0.5
+CORRECTION_TIME: Final[Seconds] = 1.0
 # How long it takes until all daemons act upon what was spent: a report, another
 # leader's report and an update, each up to 0.2 s.
-WORD_TIME: Final[Seconds] = 0.4
+THROTTLE_DELAY: Final[Seconds] = 0.4
 # All that ask at all are named this often, so that daemons know their share of each
 # should they lose the leaders' word.
-NAME_ALL_EVERY: Final[Seconds] = 1.0
+FULL_REPORT_INTERVAL: Final[Seconds] = 1.0
 # Over how long the rate that is asked for is taken: two to three reports.
-ASKED_TIME: Final[Seconds] = 0.5
+RATE_TIME: Final[Seconds] = 0.5
 # Over how long it is taken how many daemons are heard as a rule. As daemons turned to
 # other leaders for a moment they were counted twice; where the most in the last 8 s was
 # taken as the rule, an organisation at its limit got half of it for 8 s after.
-COUNT_TIME: Final[Seconds] = 20.0
+DAEMON_COUNT_TIME: Final[Seconds] = 20.0
 # The least that is told as the time until an organisation is below its limit.
-WAIT_LEAST: Final[Seconds] = 0.2
+MIN_WAIT: Final[Seconds] = 0.2
 
 
 @dataclass(slots=True)
 class Account:
     """What an organisation spent: ``used`` units of its burst, draining at its rate.
 
-    ``asked`` and ``granted`` are what it asks for and gets now, ``usual`` what it asked
+    ``asked`` and ``granted`` are what it asks for and gets now, ``long_term_asked`` what it asked
     for over the time of daemons' own shares.
     """
 
     asked: RateMeter
     granted: RateMeter
-    usual: RateMeter
+    long_term_asked: RateMeter
     at: Seconds
     used: float = 0.0
 
@@ -61,7 +61,7 @@
     def predict(self, rate: float, now: Seconds) -> float:
         """Return what will be used up once daemons act upon a word of now."""
         grows = self.granted.read(now) - rate
-        return max(self.used, self.used + grows * WORD_TIME)
+        return max(self.used, self.used + grows * THROTTLE_DELAY)
 
 
 class Ledger:
@@ -74,12 +74,12 @@
         self._usual_daemons: float | None = None
         self._counted_at: Seconds = 0.0
         self._missing = 0.0
-        self._named_at: Seconds = float("-inf")
+        self._all_reported_at: Seconds = float("-inf")
 
-    def take_organisations(self, organisations: Iterable[Organisation]) -> None:
+    def apply_organisations(self, organisations: Iterable[Organisation]) -> None:
         """Put quotas in force; accounts go on, for a new limit binds at once."""
         self._grants = {
-            each.name: self._bounds.find_grant(each.quota)
+            each.name: self._bounds.compute_grant(each.quota)
             for each in organisations
             if each.quota is not None
         }
@@ -96,13 +96,13 @@
             if account is None:
                 account = _open_account(now)
                 self._accounts[each.organisation] = account
-            account.settle(self._find_rate(grant), now)
+            account.settle(self._compute_rate(grant), now)
             account.used = max(0.0, account.used + each.granted)
             account.asked.add(each.asked, now)
             account.granted.add(each.granted, now)
-            account.usual.add(each.asked, now)
+            account.long_term_asked.add(each.asked, now)
 
-    def record_daemon_count(self, heard: int, now: Seconds) -> None:
+    def record_daemon_count(self, connected: int, now: Seconds) -> None:
         """Take in how many daemons are heard, this one among them.
 
         Those that are heard as a rule and are not now may be cut off, and grant on as
@@ -111,62 +111,64 @@
         missing.
         """
         if self._usual_daemons is None:
-            self._usual_daemons = float(max(1, heard))
+            self._usual_daemons = float(max(1, connected))
         passed = max(0.0, now - self._counted_at)
         self._counted_at = now
-        weight = 1.0 - math.exp(-passed / COUNT_TIME)
-        self._usual_daemons += weight * (heard - self._usual_daemons)
-        self._missing = max(0.0, 1.0 - max(1, heard) / self._usual_daemons)
+        weight = 1.0 - math.exp(-passed / DAEMON_COUNT_TIME)
+        self._usual_daemons += weight * (connected - self._usual_daemons)
+        self._missing = max(0.0, 1.0 - max(1, connected) / self._usual_daemons)
 
-    def _find_rate(self, grant: Grant) -> float:
+    def _compute_rate(self, grant: Grant) -> float:
         """Return the units a second that daemons which are heard may spend."""
         return grant.rate * (1.0 - self._missing)
 
-    def make_throttles(self, now: Seconds) -> list[Word]:
+    def make_throttles(self, now: Seconds) -> list[Throttle]:
         """Return the word on each organisation near its limit, and at times on all.
 
         The ratio is 1 while one may spend freely.
         """
-        name_all = now - self._named_at >= NAME_ALL_EVERY
-        if name_all:
-            self._named_at = now
-        words = []
+        report_all = now - self._all_reported_at >= FULL_REPORT_INTERVAL
+        if report_all:
+            self._all_reported_at = now
+        throttles = []
         for name, account in self._accounts.items():
             grant = self._grants[name]
-            rate = self._find_rate(grant)
+            rate = self._compute_rate(grant)
             account.settle(rate, now)
             used = account.predict(rate, now)
-            if name_all or used > FREE_PART * grant.burst:
-                words.append(self._make_word(name, grant, account, now))
-        return words
+            if report_all or used > FREE_FRACTION * grant.burst:
+                throttles.append(self._make_throttle(name, grant, account, now))
+        return throttles
 
-    def _make_word(
+    def _make_throttle(
         self, name: OrganisationName, grant: Grant, account: Account, now: Seconds
-    ) -> Word:
+    ) -> Throttle:
         asked = account.asked.read(now)
-        rate = self._find_rate(grant)
-        used = account.predict(rate, now)
-        spare = HELD_PART * grant.burst - used
-        allowed = max(0.0, rate + spare / STEER_TIME)
-        free = used <= FREE_PART * grant.burst
+        rate = self._compute_rate(grant)
+        predicted = account.predict(rate, now)
+        margin = TARGET_FRACTION * grant.burst - predicted
+        allowed = max(0.0, rate + margin / CORRECTION_TIME)
+        free = predicted <= FREE_FRACTION * grant.burst
         ratio = 1.0 if free or asked <= allowed else allowed / asked
-        wait = (account.used - FREE_PART * grant.burst) / rate
-        return Word(name, ratio, account.usual.read(now), max(WAIT_LEAST, wait))
+        wait = (account.used - FREE_FRACTION * grant.burst) / rate
+        return Throttle(
+            name, ratio, account.long_term_asked.read(now), max(MIN_WAIT, wait)
+        )
 
     def measure(self, now: Seconds) -> dict[str, float]:
         """Return by organisation the part of its burst that is used up."""
         used = {}
         for name, account in self._accounts.items():
             grant = self._grants[name]
-            account.settle(self._find_rate(grant), now)
+            account.settle(self._compute_rate(grant), now)
             used[str(name)] = account.used / grant.burst if grant.burst else 0.0
         return used
 
 
 def _open_account(now: Seconds) -> Account:
     return Account(
-        asked=RateMeter(ASKED_TIME, now),
-        granted=RateMeter(ASKED_TIME, now),
-        usual=RateMeter(SHARE_TIME, now, started_at=now),
+        asked=RateMeter(RATE_TIME, now),
+        granted=RateMeter(RATE_TIME, now),
+        long_term_asked=RateMeter(SHARE_AVERAGE_TIME, now, started_at=now),
         at=now,
     )
--- a/src/kestreltally/quotas/spending.py
+++ b/src/kestreltally/quotas/spending.py
@@ -8,11 +8,11 @@
 
 # What was counted longer ago than this when it is told at last has drained since from
 # any bucket that it would have filled.
-TOLD_WITHIN: Final[Seconds] = 4.0
+MAX_UNWEIGHTED_AGE: Final[Seconds] = 4.0
 
 # Over how long the part is taken that one daemon has of what all are asked for; over a
 # shorter time for the whole, parts would add up to several times the whole in a lull.
-SHARE_TIME: Final[Seconds] = 6.0
+SHARE_AVERAGE_TIME: Final[Seconds] = 6.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Word:
+class Throttle:
     """The leaders' word on an organisation; those far from their limit come seldom.
 
     ``ratio`` is the part of its requests that may run, ``asked`` the units a second
@@ -53,7 +53,7 @@
 
     def __init__(self) -> None:
         self._counts: dict[OrganisationName, _Counts] = {}
-        self._taken_at: Seconds | None = None
+        self._popped_at: Seconds | None = None
 
     def add(self, spendings: Iterable[Spending]) -> None:
         """Count some spendings."""
@@ -64,10 +64,10 @@
 
     def take(self, now: Seconds) -> list[Spending]:
         """Return what was counted since the last call, as far as it still matters."""
-        taken_at = self._taken_at if self._taken_at is not None else now
-        counts, self._counts, self._taken_at = self._counts, {}, now
-        part = min(1.0, TOLD_WITHIN / max(TOLD_WITHIN, now - taken_at))
+        popped_at = self._popped_at if self._popped_at is not None else now
+        counts, self._counts, self._popped_at = self._counts, {}, now
+        weight = min(1.0, MAX_UNWEIGHTED_AGE / max(MAX_UNWEIGHTED_AGE, now - popped_at))
         return [
-            Spending(name, round(part * each.asked), round(part * each.granted))
+            Spending(name, round(weight * each.asked), round(weight * each.granted))
             for name, each in counts.items()
         ]
--- a/src/kestreltally/systems/holding.py
+++ b/src/kestreltally/systems/holding.py
@@ -51,7 +51,7 @@
 from kestreltally.world import World
 
 PART: Final = "entry"
-SILENT_FOR: Final[Seconds] = 1.0
+MIN_SILENCE: Final[Seconds] = 1.0
 SILENT_AFTER_REFRESHES: Final = 2
 FORGET_RETURNED_AFTER: Final[Seconds] = 30.0
 TELL_AGAIN_AFTER: Final[Seconds] = 1.0
@@ -194,7 +194,7 @@
     first_sent = want.sent_at[0] if want.sent_at else want.since
     silence = world.now - max(first_sent, want.heard_at)
     if silence > timing.ask_refresh * SILENT_AFTER_REFRESHES:
-        world.entry.silent_until[want.endpoint] = world.now + SILENT_FOR
+        world.entry.silent_until[want.endpoint] = world.now + MIN_SILENCE
         world.entry.hints.pop(want.endpoint, None)
         _withdraw(world, want)
         _ask_next(world, replace(_clear_ask(want), last_reason="leader silent"))
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -80,7 +80,7 @@
         self.id = f"i-{uuid4().hex[:10]}"
         self.born = int(time.time() * 1000)
 
-    def begin_again(self) -> None:
+    def start_again(self) -> None:
         """Start anew under the same id: nothing of before is held or known."""
         self.born = max(self.born + 1, int(time.time() * 1000))
         self.sequence = self.beats = 0
--- a/tests/restsim.py
+++ b/tests/backoffsim.py
@@ -1,4 +1,4 @@
-"""Ways to end a rest, against each other in virtual time: ``python -m tests.restsim``.
+"""Ways to end a rest, against each other in virtual time: ``python -m tests.backoffsim``.
 
 Daemons hold requests that only one engine could serve while it rests. Its batch is
 free as the rest ends; what it has no place for it turns away, and asks for rest again.
@@ -13,15 +13,21 @@
 import click
 
 from kestreltally.fleet import notices
-from kestreltally.fleet.model import SILENT, Endpoint, EndpointId, Notice, ServiceName
-from kestreltally.fleet.notices import NoticeTable, NotWanted
+from kestreltally.fleet.model import (
+    EMPTY_NOTICE,
+    Endpoint,
+    EndpointId,
+    Notice,
+    ServiceName,
+)
+from kestreltally.fleet.notices import NoticeTable, Unavailable
 from tests.virtualtime import VirtualTime
 
 BATCH: Final = 32
-REST: Final = 3.0
-HEAD_AFTER: Final = 0.1
-RUNS_FOR: Final = 0.5
-WAIT_MOST: Final = 3.2
+BACKOFF: Final = 3.0
+HEAD_DELAY: Final = 0.1
+RUN_TIME: Final = 0.5
+MAX_WAIT: Final = 3.2
 ENDS_AT: Final = 15.0
 ENDPOINT: Final = Endpoint(
     EndpointId("e"), ServiceName("m"), "h", 1, "north", BATCH, False, {}
@@ -33,19 +39,19 @@
     """Runs a batch; turns away what exceeds it, and asks for rest."""
 
     running: int = 0
-    rests_until: float = REST
-    shed: int = 0
+    backoff_until: float = BACKOFF
+    rejected: int = 0
     served: int = 0
 
-    def take(self, now: float) -> Notice:
-        if now >= self.rests_until and self.running >= BATCH:
-            self.rests_until = now + REST
-        if now < self.rests_until:
-            self.shed += 1
-            return Notice(leaves=False, rest=self.rests_until - now)
+    def handle(self, now: float) -> Notice:
+        if now >= self.backoff_until and self.running >= BATCH:
+            self.backoff_until = now + BACKOFF
+        if now < self.backoff_until:
+            self.rejected += 1
+            return Notice(leaves=False, rest=self.backoff_until - now)
         self.running += 1
         self.served += 1
-        return SILENT
+        return EMPTY_NOTICE
 
 
 @dataclass
@@ -63,14 +69,14 @@
         self.time = VirtualTime()
         self.tables = [NoticeTable() for _ in range(self.daemons)]
 
-    def at(self, when: float, what: Callable[[float], None]) -> None:
-        self.time.at(when, lambda: what(when))
+    def at(self, when: float, action: Callable[[float], None]) -> None:
+        self.time.at(when, lambda: action(when))
 
     def run(self) -> "Play":
         for table in self.tables:
             # All were turned away as the rest began.
-            told_at = self.draw.uniform(0.0, 0.2)
-            table.record(ENDPOINT, Notice(False, REST - told_at), told_at)
+            rejected_at = self.draw.uniform(0.0, 0.2)
+            table.record(ENDPOINT, Notice(False, BACKOFF - rejected_at), rejected_at)
             self.at(self.draw.expovariate(self.rate), self._make_arrival(table))
         self.time.run_until(ENDS_AT)
         return self
@@ -83,8 +89,8 @@
         return arrive
 
     def _try(self, table: NoticeTable, arrived: float, now: float) -> None:
-        rest = table.find_rest(ENDPOINT, now)
-        if now + rest > arrived + WAIT_MOST:
+        rest = table.compute_backoff(ENDPOINT, now)
+        if now + rest > arrived + MAX_WAIT:
             self.lost += 1
             return
         if rest > 0:
@@ -93,14 +99,14 @@
             )
             return
         try:
-            trial = table.begin_send(ENDPOINT, now)
-        except NotWanted:
+            trial = table.start_send(ENDPOINT, now)
+        except Unavailable:
             self.lost += 1
             return
-        notice = self.engine.take(now)
-        after = HEAD_AFTER if notice == SILENT else 0.002
+        notice = self.engine.handle(now)
+        after = HEAD_DELAY if notice == EMPTY_NOTICE else 0.002
         self.at(now + after, lambda later: self._answer(table, trial, notice, later))
-        if notice != SILENT:
+        if notice != EMPTY_NOTICE:
             self.at(now + after, lambda later: self._try(table, arrived, later))
 
     def _answer(
@@ -109,25 +115,29 @@
         table.record(ENDPOINT, notice, now)
         if trial:
             table.end_trial(ENDPOINT)
-        if notice == SILENT:
-            self.at(now + RUNS_FOR, self._end_run)
+        if notice == EMPTY_NOTICE:
+            self.at(now + RUN_TIME, self._end_run)
 
     def _end_run(self, _: float) -> None:
         self.engine.running -= 1
 
 
 # How many may go first, and by which factor more follow each answer.
-WAYS: Final = {"all at once": (10**6, 1), "one, then all": (1, 10**6), "steps": (1, 1)}
+STRATEGIES: Final = {
+    "all at once": (10**6, 1),
+    "one, then all": (1, 10**6),
+    "steps": (1, 1),
+}
 
 
-def play(way: str, seed: int, daemons: int, rate: float) -> Play:
+def play(strategy: str, seed: int, daemons: int, rate: float) -> Play:
     """Play a seed with a way to end a rest."""
-    kept = notices.RISE_FIRST, notices.RISE_STEP
-    notices.RISE_FIRST, notices.RISE_STEP = WAYS[way]  # type: ignore[misc]
+    saved = notices.INITIAL_TRIALS, notices.TRIAL_STEP
+    notices.INITIAL_TRIALS, notices.TRIAL_STEP = STRATEGIES[strategy]  # type: ignore[misc]
     try:
         return Play(seed, daemons, rate).run()
     finally:
-        notices.RISE_FIRST, notices.RISE_STEP = kept  # type: ignore[misc]
+        notices.INITIAL_TRIALS, notices.TRIAL_STEP = saved  # type: ignore[misc]
 
 
 @click.command()
@@ -136,17 +146,17 @@
     """Print a table of ways."""
     click.echo("| daemons | rate | way | shed again | served | lost |")
     for daemons, rate in ((6, 60.0), (6, 30.0), (79, 60.0), (1_100, 60.0)):
-        for way in WAYS:
-            plays = [play(way, n, daemons, rate / daemons) for n in range(seeds)]
-            shed, served, lost = (
+        for strategy in STRATEGIES:
+            plays = [play(strategy, n, daemons, rate / daemons) for n in range(seeds)]
+            rejected, served, lost = (
                 statistics.mean(each)
                 for each in zip(
-                    *((p.engine.shed, p.engine.served, p.lost) for p in plays),
+                    *((p.engine.rejected, p.engine.served, p.lost) for p in plays),
                     strict=True,
                 )
             )
             click.echo(
-                f"| {daemons} | {rate:.0f} | {way} | {shed:.1f} | {served:.0f} "
+                f"| {daemons} | {rate:.0f} | {strategy} | {rejected:.1f} | {served:.0f} "
                 f"| {lost:.0f} |"
             )
 
--- a/tests/entryrig.py
+++ b/tests/entryrig.py
@@ -286,7 +286,7 @@
     identity = IdentityCheck(fleet, authority)
     relay.check_caller = identity.recheck
     limiter = LIMITERS[DEFAULT](clock, BOUNDS.quota)
-    limiter.note_words([])
+    limiter.apply_throttles([])
     api = EntryApi(fleet, relay, Gate(identity, limiter))
     front, ready = reserve_port(), reserve_port()
     await api.start(
--- a/tests/leaderrig.py
+++ b/tests/leaderrig.py
@@ -59,7 +59,7 @@
         self.history: deque[tuple[float, bytes]] = deque(maxlen=400)
         self.born = 0
 
-    def begin_again(self, born: int) -> None:
+    def start_again(self, born: int) -> None:
         """Start anew under the same id: nothing is held, and all counts begin."""
         self.born = born
         self.sequence = 0
--- a/tests/lendersim.py
+++ b/tests/lendersim.py
@@ -15,8 +15,8 @@
 
 import click
 
-from kestreltally.fleet.limits import LimitStanding
 from kestreltally.fleet.model import EndpointId
+from kestreltally.fleet.rate_limits import RateLimitState
 from kestreltally.knowledge.daemon_count import DaemonCount
 from kestreltally.knowledge.feed_client import FEED_SILENCE_TIMEOUT
 from kestreltally.placing.lease import (
@@ -62,7 +62,7 @@
 
     centre: int
     lender: TurnLender
-    standing: LimitStanding
+    standing: RateLimitState
     cell: int = 0
     joined_at: float = 0.0
     suspended_until: float = 0.0
@@ -107,8 +107,8 @@
         def use(_: EndpointId, ends: float) -> None:
             self.arrivals.append(ends - TURN_LIFE * self.draw.random())
 
-        standing = LimitStanding()
-        standing.take_told(self.limit, 1, 0.0)
+        standing = RateLimitState()
+        standing.apply_reported(self.limit, 1, 0.0)
         lender = TurnLender(borrower, lambda _: [borrower], use, lambda: self.now)
         return Daemon(centre, lender, standing)
 
--- a/tests/limitsim.py
+++ b/tests/limitsim.py
@@ -14,8 +14,8 @@
 
 import click
 
-from kestreltally.fleet.limits import Lending, LimitStanding
 from kestreltally.fleet.model import EndpointId
+from kestreltally.fleet.rate_limits import IssuerState, RateLimitState
 from kestreltally.placing.turns import Borrower, TurnLender, find_leased_terms
 from kestreltally.rates import Bucket, RateMeter
 from tests.virtualtime import VirtualTime
@@ -31,7 +31,7 @@
 MIN_REPORT_INTERVAL: Final = 0.02
 MIN_BATCH_DELAY: Final = (0.02, 0.05)
 E: Final = EndpointId("e")
-HEARD: Final = Lending(heard=True, daemons=None)
+HEARD: Final = IssuerState(known=True, daemons=None)
 
 
 @dataclass
@@ -40,7 +40,7 @@
 
     group: int
     rate: float
-    standing: LimitStanding
+    standing: RateLimitState
     borrower: Borrower = field(default_factory=Borrower)
     received: int = 0
     reported_at: float = -1.0
@@ -76,9 +76,9 @@
             daemon.bucket.level = self.draw.random()
             self._arrive_later(daemon)
 
-    def _make_standing(self) -> LimitStanding:
-        standing = LimitStanding()
-        standing.take_told(self.limit, 1, 0.0)
+    def _make_standing(self) -> RateLimitState:
+        standing = RateLimitState()
+        standing.apply_reported(self.limit, 1, 0.0)
         return standing
 
     @property
@@ -178,8 +178,8 @@
         self.forwards = [Borrower() for _ in range(GROUPS)]
         self.forward_received = [0] * GROUPS
         self.leaders = [self._make_lender(number) for number in range(GROUPS)]
-        self.owner = LimitStanding()
-        self.owner.take_told(self.limit, 1, 0.0)
+        self.owner = RateLimitState()
+        self.owner.apply_reported(self.limit, 1, 0.0)
         self.terms = find_leased_terms(self.owner.rate)
         self.look_at = float("inf")
 
@@ -194,10 +194,10 @@
         return TurnLender(own, list_borrowers, lambda *_: None, lambda: self.now)
 
     def may_send(self, daemon: Daemon) -> bool:
-        return daemon.standing.take(HEARD, self.now)
+        return daemon.standing.use_credit(HEARD, self.now)
 
     def ask(self, daemon: Daemon) -> None:
-        daemon.standing.wants.add(1, self.now)
+        daemon.standing.demand.add(1, self.now)
         if self.may_send(daemon):
             self.send()
         elif daemon.standing.compute_wait(HEARD, self.now) > WAIT_MOST:
@@ -296,7 +296,7 @@
         def arrive() -> None:
             daemon.received += len(ends)
             daemon.standing.wait = self.owner.wait
-            daemon.standing.turns.extend(ends)
+            daemon.standing.credits.extend(ends)
             while daemon.waiting and self.may_send(daemon):
                 daemon.waiting.popleft()
                 daemon.standing.waiting[2] -= 1
--- a/tests/poisonrig.py
+++ b/tests/poisonrig.py
@@ -7,7 +7,7 @@
 from aiohttp import web
 
 from kestreltally.fleet_daemon import FleetDaemon
-from kestreltally.poison.register import SETTLE
+from kestreltally.poison.register import SETTLE_TIME
 from standins.platform_engine import DEADLY, PlatformEngine, make_engine_app
 from standins.platform_store import make_store_app
 from tests.entryrig import Reply
@@ -22,10 +22,10 @@
 ENGINES = 3
 DAEMONS = 2
 # An engine is back after this; its old entry is gone by then.
-DOWN_FOR = 1.0
+DOWN_TIME = 1.0
 # The operators' bound: from then on further sends count.
 KNOWN_WITHIN = 3.0
-SENDS_MOST = 20
+MAX_SENDS = 20
 # What a refusal says.
 STOPPED = b"ended under it"
 
@@ -43,7 +43,7 @@
             zone=zone,
             model=MODEL,
         )
-        self.engine.crash = self._begin_crash
+        self.engine.crash = self._start_crash
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
@@ -55,15 +55,15 @@
             self._runner, "127.0.0.1", self._port, reuse_address=True
         ).start()
 
-    def _begin_crash(self) -> None:
-        self._rig.note_crash(asyncio.create_task(self._crash()))
+    def _start_crash(self) -> None:
+        self._rig.record_crash(asyncio.create_task(self._crash()))
 
     async def _crash(self) -> None:
         await self.stop()
-        await asyncio.sleep(DOWN_FOR)
+        await asyncio.sleep(DOWN_TIME)
         await self._rig.store.drop("servers", self.engine.id)
         self.engine.__post_init__()
-        self.engine.begin_again()
+        self.engine.start_again()
         await self.start()
 
     async def stop(self) -> None:
@@ -88,7 +88,7 @@
         self.crashing: list[CrashingEngine] = []
         self.crashes: list[asyncio.Task[None]] = []
 
-    def note_crash(self, task: asyncio.Task[None]) -> None:
+    def record_crash(self, task: asyncio.Task[None]) -> None:
         self.crashes.append(task)
 
     async def add_crashing(self, zone: str) -> CrashingEngine:
@@ -121,7 +121,7 @@
         while not all(self._knows_ends(each) for each in self.daemons.values()):
             await asyncio.sleep(0.02)
             assert loop.time() - began < KNOWN_WITHIN
-        await asyncio.sleep(SETTLE)
+        await asyncio.sleep(SETTLE_TIME)
 
     def _knows_ends(self, daemon: FleetDaemon) -> bool:
         listed = daemon._relay.poison.register.list_suspects()
@@ -131,7 +131,7 @@
         """Send a deadly request at one daemon after the other until it is stopped."""
         vms = list(self.daemons)
         replies: list[Reply | None] = []
-        for number in range(SENDS_MOST):
+        for number in range(MAX_SENDS):
             reply = await self.send(
                 vms[number % len(vms)], make_deadly(), f"deadly-{number}"
             )
@@ -139,7 +139,7 @@
             if reply is not None and STOPPED in reply.body:
                 return replies
             await self.wait_until_known()
-        raise AssertionError(f"not stopped after {SENDS_MOST} sends")
+        raise AssertionError(f"not stopped after {MAX_SENDS} sends")
 
     async def close(self) -> None:
         for task in self.crashes:
--- a/tests/poisonsim.py
+++ b/tests/poisonsim.py
@@ -19,22 +19,22 @@
 from kestreltally.poison.register import PoisonRegister
 
 SEEDS = 200
-LASTS = 40.0
+DURATION = 40.0
 # The operators' bound: sends later than this after the third end are counted.
-CONTACT = 3.0
+KNOWN_WITHIN = 3.0
 POISON = "poison"
-ENGINE_BACK = (2.0, 4.0)
-AGAIN_AFTER = (0.3, 2.0)
+RESTART_TIME = (2.0, 4.0)
+RETRY_INTERVAL = (0.3, 2.0)
 # How long an engine runs the request before it ends, seconds.
-RUNS_FOR = (0.02, 0.1)
+RUN_TIME = (0.02, 0.1)
 # Each daemon's requests at each engine at a moment; how long each lasts.
-OTHERS_EACH = 0.6
-OTHER_LASTS = 1.2
+OTHERS_PER_ENGINE = 0.6
+OTHER_RUN_TIME = 1.2
 # So many of those that are cut off come again once.
-REPEATED = 0.6
+RETRIED_FRACTION = 0.6
 # A report leaves at once, an update is gathered; both cross the network.
-REPORT = (0.005, 0.03)
-UPDATE = (0.025, 0.08)
+REPORT_DELAY = (0.005, 0.03)
+UPDATE_DELAY = (0.025, 0.08)
 
 
 class Sharing(Enum):
@@ -44,7 +44,7 @@
     LEADERS = "over the leaders"
 
 
-class Trouble(Enum):
+class Fault(Enum):
     """What befalls the word on its way."""
 
     NONE = "none"
@@ -55,7 +55,7 @@
 
 
 @dataclass
-class Figures:
+class Metrics:
     """What came of one play."""
 
     ends: int = 0
@@ -81,15 +81,15 @@
     """One play of a seed."""
 
     def __init__(
-        self, seed: int, daemons: int, groups: int, sharing: Sharing, trouble: Trouble
+        self, seed: int, daemons: int, groups: int, sharing: Sharing, fault: Fault
     ) -> None:
         self._draw = Random(seed)
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._numbers = count()
+        self._sequence = count()
         self._sharing = sharing
-        self._trouble = trouble
-        self.figures = Figures()
+        self._fault = fault
+        self.metrics = Metrics()
         self._engines = 9 * max(1, daemons // 40)
         self._lives = dict.fromkeys(range(self._engines), 0)
         self._up = set(range(self._engines))
@@ -99,29 +99,31 @@
         ]
         self._groups = groups
         self._third_at: float | None = None
-        self._deaf_until: dict[int, float] = {}
+        self._disconnected_until: dict[int, float] = {}
 
     def at(self, moment: float, work: Callable[[], None]) -> None:
-        heapq.heappush(self._events, (moment, next(self._numbers), work))
+        heapq.heappush(self._events, (moment, next(self._sequence), work))
 
     def later(self, bounds: tuple[float, float], work: Callable[[], None]) -> None:
         self.at(self._now + self._draw.uniform(*bounds), work)
 
-    def run(self) -> Figures:
+    def run(self) -> Metrics:
         self.at(1.0, self._send_poison)
         self.at(0.0, self._send_others)
         while self._events:
             self._now, _, work = heapq.heappop(self._events)
-            if self._now > LASTS:
+            if self._now > DURATION:
                 break
             work()
-        self.figures.facts = max(each.register.news.position for each in self._daemons)
-        return self.figures
+        self.metrics.facts = max(
+            each.register.fact_log.position for each in self._daemons
+        )
+        return self.metrics
 
     # Requests.
 
     def _choose_daemon(self) -> Daemon:
-        if self._trouble is Trouble.ONE_SEES_ALL:
+        if self._fault is Fault.ONE_SEES_ALL:
             return self._daemons[-1]
         return self._draw.choice([each for each in self._daemons if not each.lost])
 
@@ -129,27 +131,27 @@
         daemon = self._choose_daemon()
         blocked = daemon.register.find_block(make_fingerprint(POISON).digest)
         if blocked is None and self._up:
-            if self._third_at is not None and self._now > self._third_at + CONTACT:
-                self.figures.late_sends += 1
+            if self._third_at is not None and self._now > self._third_at + KNOWN_WITHIN:
+                self.metrics.late_sends += 1
             engine = self._draw.choice(sorted(self._up))
             sent_at = self._now
-            self.later(RUNS_FOR, lambda: self._end_engine(engine, daemon, sent_at))
-        self.later(AGAIN_AFTER, self._send_poison)
+            self.later(RUN_TIME, lambda: self._end_engine(engine, daemon, sent_at))
+        self.later(RETRY_INTERVAL, self._send_poison)
 
     def _send_others(self) -> None:
         """Begin others' requests: each daemon has some at each engine."""
-        rate = OTHERS_EACH / OTHER_LASTS * len(self._up)
+        rate = OTHERS_PER_ENGINE / OTHER_RUN_TIME * len(self._up)
         for daemon in self._daemons:
             if not daemon.lost and self._draw.random() < rate * 0.1:
-                self._send_other(daemon, f"other-{next(self._numbers)}", repeats=1)
+                self._send_other(daemon, f"other-{next(self._sequence)}", repeats=1)
         self.later((0.1, 0.1), self._send_others)
 
     def _send_other(self, daemon: Daemon, name: str, repeats: int) -> None:
         if not self._up:
             return
-        self.figures.others += 1
+        self.metrics.others += 1
         if daemon.register.find_block(make_fingerprint(name).digest) is not None:
-            self.figures.others_refused += 1
+            self.metrics.others_refused += 1
             return
         flight = (self._draw.choice(sorted(self._up)), name, self._now)
         daemon.flights.append(flight)
@@ -160,11 +162,11 @@
                 digest = make_fingerprint(name).digest
                 if daemon.register.is_suspect(digest):
                     clearing = make_clearing(make_fingerprint(name), self._now)
-                    self._tell(daemon, [clearing])
-            elif repeats and self._draw.random() < REPEATED:
+                    self._report(daemon, [clearing])
+            elif repeats and self._draw.random() < RETRIED_FRACTION:
                 self._send_other(self._choose_daemon(), name, repeats - 1)
 
-        self.later((0.1, 2 * OTHER_LASTS), finish)
+        self.later((0.1, 2 * OTHER_RUN_TIME), finish)
 
     # Ends.
 
@@ -174,11 +176,11 @@
         self._up.discard(engine)
         life = Life(f"e{engine}.{self._lives[engine]}")
         self._lives[engine] += 1
-        self.figures.ends += 1
-        if self.figures.ends == 3:
+        self.metrics.ends += 1
+        if self.metrics.ends == 3:
             self._third_at = self._now
-            self.at(self._now + 0.001, self._watch_knowledge)
-        self._meet_trouble(sender)
+            self.at(self._now + 0.001, self._poll_knowledge)
+        self._inject_fault(sender)
         for daemon in self._daemons:
             seen = [each for each in daemon.flights if each[0] == engine]
             daemon.flights = [each for each in daemon.flights if each[0] != engine]
@@ -198,46 +200,46 @@
                 witness = self._daemons.index(daemon)
                 facts.append(Sighting(poison, life, sent_at, self._now, False, witness))
             if facts and not daemon.lost:
-                self._tell(daemon, facts)
-        self.later(ENGINE_BACK, lambda: self._up.add(engine))
+                self._report(daemon, facts)
+        self.later(RESTART_TIME, lambda: self._up.add(engine))
 
-    def _meet_trouble(self, sender: Daemon) -> None:
-        if self.figures.ends != 2:
+    def _inject_fault(self, sender: Daemon) -> None:
+        if self.metrics.ends != 2:
             return
-        if self._trouble is Trouble.WITNESS_LOST:
+        if self._fault is Fault.WITNESS_LOST:
             sender.lost = True
-        elif self._trouble is Trouble.LEADER_LOST:
-            self._deaf_until[sender.group] = self._now + 2.0
+        elif self._fault is Fault.LEADER_LOST:
+            self._disconnected_until[sender.group] = self._now + 2.0
 
-    def _watch_knowledge(self) -> None:
+    def _poll_knowledge(self) -> None:
         digest = make_fingerprint(POISON).digest
         known = all(
             each.lost or each.register.find_block(digest) for each in self._daemons
         )
         if self._third_at is not None:
-            self.figures.known_after = self._now - self._third_at
+            self.metrics.known_after = self._now - self._third_at
         if not known:
-            self.later((0.01, 0.01), self._watch_knowledge)
+            self.later((0.01, 0.01), self._poll_knowledge)
 
     # The word's way: to the group's leader, to all groups, to all daemons.
 
-    def _tell(self, daemon: Daemon, facts: list[Fact]) -> None:
-        daemon.register.note_own(facts)
+    def _report(self, daemon: Daemon, facts: list[Fact]) -> None:
+        daemon.register.record_local(facts)
         if self._sharing is Sharing.NONE:
             return
-        extra = 1.0 if self._trouble is Trouble.SLOW else 0.0
-        heard = max(
-            self._now + self._draw.uniform(*REPORT),
-            self._deaf_until.get(daemon.group, 0.0),
+        extra = 1.0 if self._fault is Fault.SLOW else 0.0
+        received_at = max(
+            self._now + self._draw.uniform(*REPORT_DELAY),
+            self._disconnected_until.get(daemon.group, 0.0),
         )
         for other in self._daemons:
             if other is daemon:
                 continue
-            way = self._draw.uniform(*UPDATE)
+            delay = self._draw.uniform(*UPDATE_DELAY)
             if other.group != daemon.group:
-                way += self._draw.uniform(*UPDATE)
+                delay += self._draw.uniform(*UPDATE_DELAY)
             self.at(
-                heard + way + extra,
+                received_at + delay + extra,
                 lambda to=other: to.register.record_reported(facts),  # type: ignore[misc]
             )
 
@@ -247,14 +249,12 @@
 
 
 def play_seeds(
-    seeds: int, daemons: int, groups: int, sharing: Sharing, trouble: Trouble
-) -> list[Figures]:
-    return [
-        Play(seed, daemons, groups, sharing, trouble).run() for seed in range(seeds)
-    ]
+    seeds: int, daemons: int, groups: int, sharing: Sharing, fault: Fault
+) -> list[Metrics]:
+    return [Play(seed, daemons, groups, sharing, fault).run() for seed in range(seeds)]
 
 
-def describe(played: list[Figures]) -> str:
+def describe(played: list[Metrics]) -> str:
     return (
         f"ends mean {mean(each.ends for each in played):.2f} "
         f"most {max(each.ends for each in played)}; "
@@ -272,11 +272,11 @@
     seeds = int(sys.argv[1]) if len(sys.argv) > 1 else SEEDS
     for daemons, groups in ((6, 3), (79, 3)):
         for sharing in Sharing:
-            for trouble in Trouble:
-                if sharing is Sharing.NONE and trouble is not Trouble.NONE:
+            for fault in Fault:
+                if sharing is Sharing.NONE and fault is not Fault.NONE:
                     continue
-                played = play_seeds(seeds, daemons, groups, sharing, trouble)
-                print(f"{daemons} daemons, {sharing.value}, {trouble.value}: ", end="")
+                played = play_seeds(seeds, daemons, groups, sharing, fault)
+                print(f"{daemons} daemons, {sharing.value}, {fault.value}: ", end="")
                 print(describe(played), flush=True)
 
 
--- a/tests/quotasim.py
+++ b/tests/quotasim.py
@@ -18,15 +18,15 @@
 
 NAME = OrganisationName("hule930")
 TICK = 0.02
-TELL_STEPS = 10
-WAY = 0.03
+REPORT_STEPS = 10
+MESSAGE_DELAY = 0.03
 WINDOW = 8.0
 GROUPS = 3
 # Followers turn to another leader within this time, and a lease is held again after it.
-NEXT_LEADER = 0.8
-NEW_LEADER = 6.0
+FAILOVER_TIME = 0.8
+RE_ELECTION_TIME = 6.0
 # After all were killed, the first leader is heard within this time.
-FIRST_LEADER = 2.0
+FIRST_ELECTION_TIME = 2.0
 FOREVER = 1e9
 BOUNDS = QuotaBounds(WINDOW, overage=0.1, slack=110_000.0)
 
@@ -42,10 +42,10 @@
     name: str
     rate: float = 100_000.0
     burst: float = 100_000.0
-    usual: float = 0.55
-    hot: float = 0.55
-    hot_from: float = 4.0
-    hot_to: float = 14.0
+    base: float = 0.55
+    surge: float = 0.55
+    surge_from: float = 4.0
+    surge_to: float = 14.0
     skew: float = 0.5
     daemons: int = 74
     cut_off: float = 0.0
@@ -60,17 +60,19 @@
 
 LOADS = (
     Load("usual"),
-    Load("hot", hot=4.2),
-    Load("hot, few daemons asked", hot=4.2, skew=2.0),
-    Load("hot, small rate", rate=3_000.0, burst=3_000.0, hot=4.2),
-    Load("just below", usual=0.9, hot=0.95),
-    Load("hot, a third cut off", hot=4.2, cut_off=0.33, cut_at=5.0, healed_at=13.0),
+    Load("hot", surge=4.2),
+    Load("hot, few daemons asked", surge=4.2, skew=2.0),
+    Load("hot, small rate", rate=3_000.0, burst=3_000.0, surge=4.2),
+    Load("just below", base=0.9, surge=0.95),
+    Load("hot, a third cut off", surge=4.2, cut_off=0.33, cut_at=5.0, healed_at=13.0),
     Load("usual, nearly all cut off", cut_off=0.92, cut_at=5.0, healed_at=16.0),
-    Load("hot, nearly all cut off", hot=3.3, cut_off=0.92, cut_at=5.0, healed_at=16.0),
-    Load("hot, a leader lost", hot=4.2, leader_lost_at=6.0),
-    Load("hot, all restarted", hot=4.2, all_restart_at=7.0),
-    Load("lowered to a tenth", usual=0.9, hot=0.9, lowered_at=4.0, lowered_to=0.1),
-    Load("hot, 1,100 daemons", hot=4.2, daemons=1_100, length=12.0),
+    Load(
+        "hot, nearly all cut off", surge=3.3, cut_off=0.92, cut_at=5.0, healed_at=16.0
+    ),
+    Load("hot, a leader lost", surge=4.2, leader_lost_at=6.0),
+    Load("hot, all restarted", surge=4.2, all_restart_at=7.0),
+    Load("lowered to a tenth", base=0.9, surge=0.9, lowered_at=4.0, lowered_to=0.1),
+    Load("hot, 1,100 daemons", surge=4.2, daemons=1_100, length=12.0),
 )
 
 
@@ -78,12 +80,12 @@
 class Outcome:
     """What came of a load.
 
-    ``over`` is the most that ran in a window as a part of the rule's bound, ``wrong``
+    ``overrun`` is the most that ran in a window as a part of the rule's bound, ``wrongly_refused``
     the part of the units within the limit that was refused.
     """
 
-    over: float
-    wrong: float
+    overrun: float
+    wrongly_refused: float
 
 
 @dataclass
@@ -110,10 +112,10 @@
 class Simulation:
     """One load, one way, one seed."""
 
-    def __init__(self, load: Load, way: str, seed: int) -> None:
+    def __init__(self, load: Load, limiter_name: str, seed: int) -> None:
         random.seed(seed)
         self.load = load
-        self.way = way
+        self.limiter_name = limiter_name
         self.now = 0.0
         self.quota = Quota(QuotaUnit.TOKENS, load.rate, load.burst, 200)
         self.leaders: list[SimLeader | None] = [SimLeader() for _ in range(GROUPS)]
@@ -121,34 +123,34 @@
         for daemon in self.daemons:
             # They have been running for a while.
             daemon.limiter.daemons = load.daemons
-            daemon.limiter.note_words([])
-        self._mail: list[tuple[float, int, Callable[[], None]]] = []
+            daemon.limiter.apply_throttles([])
+        self._messages: list[tuple[float, int, Callable[[], None]]] = []
         self._sent = 0
         self.granted: list[tuple[float, int]] = []
-        self.within = 0.0
+        self.allowed_units = 0.0
         self._in_window = 0
-        self._oracle: deque[tuple[float, int]] = deque()
+        self._allowed: deque[tuple[float, int]] = deque()
         self._set_quota()
 
     def _make_daemon(self, number: int) -> SimDaemon:
-        limiter = LIMITERS[self.way](lambda: self.now, BOUNDS)
+        limiter = LIMITERS[self.limiter_name](lambda: self.now, BOUNDS)
         return SimDaemon(
             limiter,
             number % GROUPS,
             random.lognormvariate(0.0, self.load.skew),
-            phase=random.randrange(TELL_STEPS),
+            phase=random.randrange(REPORT_STEPS),
         )
 
     def _set_quota(self) -> None:
         organisation = Organisation(NAME, ("k",), None, self.quota)
         for leader in self.leaders:
             if leader is not None:
-                leader.ledger.take_organisations([organisation])
+                leader.ledger.apply_organisations([organisation])
 
     def _post(self, deliver: Callable[[], None]) -> None:
         self._sent += 1
-        at = self.now + random.uniform(0.5, 1.5) * WAY
-        self._mail.append((at, self._sent, deliver))
+        at = self.now + random.uniform(0.5, 1.5) * MESSAGE_DELAY
+        self._messages.append((at, self._sent, deliver))
 
     def run(self) -> Outcome:
         """Play the load to its end."""
@@ -156,25 +158,25 @@
         for step in range(steps):
             self.now = step * TICK
             self._deliver()
-            self._strike(step)
+            self._apply_faults(step)
             self._send_requests()
             for daemon in self.daemons:
                 if self._is_due(daemon.phase):
                     self._report(daemon)
-            if self._is_due(TELL_STEPS // 2):
-                self._tell()
-        return Outcome(self._measure_over(), self._measure_wrong())
+            if self._is_due(REPORT_STEPS // 2):
+                self._send_throttles()
+        return Outcome(self._measure_overrun(), self._measure_wrongly_refused())
 
     def _is_due(self, phase: int) -> bool:
-        return (round(self.now / TICK) - phase) % TELL_STEPS == 0
+        return (round(self.now / TICK) - phase) % REPORT_STEPS == 0
 
     def _deliver(self) -> None:
-        due = [each for each in self._mail if each[0] <= self.now]
-        self._mail = [each for each in self._mail if each[0] > self.now]
+        due = [each for each in self._messages if each[0] <= self.now]
+        self._messages = [each for each in self._messages if each[0] > self.now]
         for _, _, deliver in sorted(due, key=lambda each: each[:2]):
             deliver()
 
-    def _strike(self, step: int) -> None:
+    def _apply_faults(self, step: int) -> None:
         load = self.load
 
         def at(moment: float) -> bool:
@@ -185,13 +187,13 @@
                 daemon.cut = at(load.cut_at) and number < load.cut_off * load.daemons
         if at(load.leader_lost_at):
             self.leaders[0] = None
-        if at(load.leader_lost_at + NEW_LEADER):
+        if at(load.leader_lost_at + RE_ELECTION_TIME):
             self.leaders[0] = SimLeader()
             self._set_quota()
         if at(load.all_restart_at):
             self.leaders = [None] * GROUPS
             self.daemons = [self._make_daemon(n) for n in range(load.daemons)]
-        if at(load.all_restart_at + FIRST_LEADER):
+        if at(load.all_restart_at + FIRST_ELECTION_TIME):
             self.leaders = [SimLeader() for _ in range(GROUPS)]
             self._set_quota()
         if at(load.lowered_at):
@@ -201,8 +203,8 @@
 
     def _send_requests(self) -> None:
         load = self.load
-        hot = load.hot_from <= self.now < load.hot_to
-        units = (load.hot if hot else load.usual) * load.rate * TICK
+        surge = load.surge_from <= self.now < load.surge_to
+        units = (load.surge if surge else load.base) * load.rate * TICK
         weights = [each.weight for each in self.daemons]
         asked = random.gauss(units, 0.2 * units) + self._carried
         while asked > 0:
@@ -221,27 +223,27 @@
         if granted:
             self.granted.append((self.now, size))
         # What one that knows everything lets run in each window.
-        while self._oracle and self._oracle[0][0] < self.now - WINDOW:
-            self._in_window -= self._oracle.popleft()[1]
-        if self._in_window + size <= BOUNDS.find_most(self.quota):
-            self._oracle.append((self.now, size))
+        while self._allowed and self._allowed[0][0] < self.now - WINDOW:
+            self._in_window -= self._allowed.popleft()[1]
+        if self._in_window + size <= BOUNDS.compute_max_units(self.quota):
+            self._allowed.append((self.now, size))
             self._in_window += size
-            self.within += size
+            self.allowed_units += size
 
-    def _find_leader(self, daemon: SimDaemon) -> SimLeader | None:
+    def _choose_leader(self, daemon: SimDaemon) -> SimLeader | None:
         """Return who a daemon follows: another one soon after its own is lost."""
-        own = self.leaders[daemon.group]
-        if own is not None or daemon.cut:
-            return None if daemon.cut else own
-        if self.now < self.load.leader_lost_at + NEXT_LEADER:
+        leader = self.leaders[daemon.group]
+        if leader is not None or daemon.cut:
+            return None if daemon.cut else leader
+        if self.now < self.load.leader_lost_at + FAILOVER_TIME:
             return None
         return next((each for each in self.leaders if each is not None), None)
 
     def _report(self, daemon: SimDaemon) -> None:
-        leader = self._find_leader(daemon)
+        leader = self._choose_leader(daemon)
         if leader is None:
             return
-        spendings = daemon.limiter.take_spendings()
+        spendings = daemon.limiter.pop_spendings()
 
         def take() -> None:
             leader.ledger.record(spendings, self.now)
@@ -250,20 +252,20 @@
 
         self._post(take)
 
-    def _tell(self) -> None:
+    def _send_throttles(self) -> None:
         for number, leader in enumerate(self.leaders):
             if leader is None:
                 continue
-            self._tell_leaders(number, leader)
-            heard = sum(not each.cut for each in self.daemons)
-            leader.ledger.record_daemon_count(heard, self.now)
-            words = leader.ledger.make_throttles(self.now)
+            self._report_to_leaders(number, leader)
+            connected = sum(not each.cut for each in self.daemons)
+            leader.ledger.record_daemon_count(connected, self.now)
+            throttles = leader.ledger.make_throttles(self.now)
             for daemon in self.daemons:
-                if self._find_leader(daemon) is leader:
+                if self._choose_leader(daemon) is leader:
                     limiter = daemon.limiter
-                    self._post(lambda to=limiter, w=words: to.note_words(w))  # type: ignore[misc]
+                    self._post(lambda to=limiter, w=throttles: to.apply_throttles(w))  # type: ignore[misc]
 
-    def _tell_leaders(self, number: int, leader: SimLeader) -> None:
+    def _report_to_leaders(self, number: int, leader: SimLeader) -> None:
         for other_number, other in enumerate(self.leaders):
             if other is None or other_number == number:
                 continue
@@ -271,7 +273,7 @@
             ledger = other.ledger
             self._post(lambda to=ledger, s=spendings: to.record(s, self.now))  # type: ignore[misc]
 
-    def _measure_over(self) -> float:
+    def _measure_overrun(self) -> float:
         """Return the fullest window as a part of the rule's bound.
 
         A lowered limit binds a window and some seconds after it was set.
@@ -280,7 +282,7 @@
         begins = 0.0
         if load.lowered_at < FOREVER:
             begins = load.lowered_at + 3.0 + 1.0
-        bound = BOUNDS.find_most(self.quota)
+        bound = BOUNDS.compute_max_units(self.quota)
         most, total, first = 0.0, 0.0, 0
         ran = [each for each in self.granted if each[0] >= begins]
         for at, size in ran:
@@ -291,24 +293,24 @@
             most = max(most, total)
         return most / bound
 
-    def _measure_wrong(self) -> float:
+    def _measure_wrongly_refused(self) -> float:
         granted = sum(size for _, size in self.granted)
-        return max(0.0, self.within - granted) / max(1.0, self.within)
+        return max(0.0, self.allowed_units - granted) / max(1.0, self.allowed_units)
 
 
-def compare(ways: list[str], loads: tuple[Load, ...], seeds: int) -> list[str]:
+def compare(limiter_names: list[str], loads: tuple[Load, ...], seeds: int) -> list[str]:
     """Return a line for each load and way: the worst of the bound, the mean refused."""
     lines = []
     for load in loads:
-        for way in ways:
-            ran = [Simulation(load, way, seed).run() for seed in range(seeds)]
-            over = sorted(each.over for each in ran)
-            wrong = sum(each.wrong for each in ran) / seeds
-            late = over[int(0.99 * (seeds - 1))]
-            broke = sum(each > 1.0 for each in over)
+        for limiter_name in limiter_names:
+            ran = [Simulation(load, limiter_name, seed).run() for seed in range(seeds)]
+            overrun = sorted(each.overrun for each in ran)
+            wrongly_refused = sum(each.wrongly_refused for each in ran) / seeds
+            late = overrun[int(0.99 * (seeds - 1))]
+            broke = sum(each > 1.0 for each in overrun)
             lines.append(
-                f"{load.name} | {way} | {late:.2f} | {over[-1]:.2f} | {broke} | "
-                f"{wrong:.3f}"
+                f"{load.name} | {limiter_name} | {late:.2f} | {overrun[-1]:.2f} | {broke} | "
+                f"{wrongly_refused:.3f}"
             )
     return lines
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -6,7 +6,7 @@
 import pytest
 from hypothesis import given, settings, strategies
 
-from kestreltally.fleet.copies import DEPTH_FIRST, ROWS_MOST, CopyTable
+from kestreltally.fleet.copies import INITIAL_DEPTH, MAX_ROWS, CopyTable
 from kestreltally.fleet.model import EndpointId, WeightsKey
 from kestreltally.placing.planner import (
     HOLD_FOR,
@@ -25,53 +25,53 @@
 
 def test_what_an_engine_dropped_lately_is_kept_there() -> None:
     table = CopyTable()
-    table.note_dropped(FIRST, make_key(1))
-    table.note_dropped(SECOND, make_key(1))
+    table.record_dropped(FIRST, make_key(1))
+    table.record_dropped(SECOND, make_key(1))
     assert table.list_engines(make_key(1)) == [FIRST, SECOND]
-    table.forget(FIRST)
+    table.remove_endpoint(FIRST)
     assert table.list_engines(make_key(1)) == [SECOND]
 
 
 def test_a_model_leaves_no_copy_of_an_adapter() -> None:
     table = CopyTable()
-    table.note_dropped(FIRST, WeightsKey(MODEL))
+    table.record_dropped(FIRST, WeightsKey(MODEL))
     assert table.list_engines(WeightsKey(MODEL)) == []
 
 
 def test_how_many_copies_engines_keep_is_learned_from_loads() -> None:
     table = CopyTable()
     for number in range(100):
-        table.note_dropped(FIRST, make_key(number))
+        table.record_dropped(FIRST, make_key(number))
     assert not table.has_copy(FIRST, make_key(0))
-    table.learn(90, quick=True)
+    table.record_load(90, fast=True)
     assert table.has_copy(FIRST, make_key(10))
     for _ in range(40):
-        table.learn(20, quick=False)
+        table.record_load(20, fast=False)
     assert not table.has_copy(FIRST, make_key(70))
     assert table.has_copy(FIRST, make_key(95))
 
 
 def test_a_load_that_was_slow_for_another_reason_is_made_up_for() -> None:
     table = CopyTable()
-    table.learn(2, quick=False)
-    assert table.depth < DEPTH_FIRST - 5
+    table.record_load(2, fast=False)
+    assert table.depth < INITIAL_DEPTH - 5
     for _ in range(40):
-        table.learn(2, quick=True)
-    assert table.depth >= DEPTH_FIRST
+        table.record_load(2, fast=True)
+    assert table.depth >= INITIAL_DEPTH
 
 
 def test_what_was_slow_far_back_tells_nothing_of_what_is_near() -> None:
     table = CopyTable()
-    table.learn(DEPTH_FIRST + 10, quick=False)
-    assert table.depth == DEPTH_FIRST
+    table.record_load(INITIAL_DEPTH + 10, fast=False)
+    assert table.depth == INITIAL_DEPTH
 
 
 def test_the_table_is_bounded() -> None:
     table = CopyTable()
-    for number in range(ROWS_MOST + 10):
-        table.note_dropped(FIRST, make_key(number))
+    for number in range(MAX_ROWS + 10):
+        table.record_dropped(FIRST, make_key(number))
     assert table.measure_age(FIRST, make_key(0)) is None
-    assert table.measure_age(FIRST, make_key(ROWS_MOST)) == 9
+    assert table.measure_age(FIRST, make_key(MAX_ROWS)) == 9
 
 
 @settings(derandomize=True, deadline=None)
@@ -79,7 +79,7 @@
 def test_the_age_counts_the_drops_since(drops: list[int]) -> None:
     table = CopyTable()
     for number in drops:
-        table.note_dropped(FIRST, make_key(number))
+        table.record_dropped(FIRST, make_key(number))
     for number in range(10):
         since = drops[::-1].index(number) if number in drops else None
         assert table.measure_age(FIRST, make_key(number)) == since
@@ -137,7 +137,7 @@
         (engine,) = rig.engines.values()
         known = make_key(burst)
         engine.copies.append(known.adapter)
-        rig.fleet.copies.note_dropped(EndpointId(engine.name), known)
+        rig.fleet.copies.record_dropped(EndpointId(engine.name), known)
         for number in range(3):
             rig.ask(100 + 3 * burst + number)
         await asyncio.sleep(0.15)
--- a/tests/test_credit_exchange.py
+++ b/tests/test_credit_exchange.py
@@ -3,8 +3,8 @@
 from types import SimpleNamespace
 from typing import Any, cast
 
-from kestreltally.fleet.limits import LimitStanding
 from kestreltally.fleet.model import Endpoint
+from kestreltally.fleet.rate_limits import RateLimitState
 from kestreltally.fleet.tables import Fleet
 from kestreltally.knowledge.credits import CreditExchange
 from kestreltally.knowledge.feed_parts import ReceivedUpdate
@@ -56,8 +56,8 @@
         self.expedited += 1
 
     @property
-    def limit(self) -> LimitStanding:
-        limit = self.fleet.notices.find_limit(ENDPOINT.id, ENDPOINT.born)
+    def limit(self) -> RateLimitState:
+        limit = self.fleet.notices.get_rate_limit(ENDPOINT.id, ENDPOINT.born)
         assert limit is not None
         return limit
 
@@ -82,11 +82,11 @@
     rig = Rig()
     # Reported 0.2 s ago and answered 0.1 s later: the credit is valid for 0.3 s more.
     rig.apply_credit(NOW - 0.2, 0.1)
-    assert [round(ends - NOW, 6) for ends in rig.limit.turns] == [0.3]
+    assert [round(ends - NOW, 6) for ends in rig.limit.credits] == [0.3]
     # The daemon or the link was stalled for five seconds.
     rig.now += 5.0
     rig.apply_credit(NOW - 0.2, 0.1)
-    assert rig.fleet.notices.find_rest(ENDPOINT, rig.now) > 0
+    assert rig.fleet.notices.compute_backoff(ENDPOINT, rig.now) > 0
     assert len(rig.credited) == 1
     assert rig.get_received_count() == 2
     # The count starts again on a new connection.
@@ -96,7 +96,7 @@
 
 async def test_waiting_request_requests_credit_at_once() -> None:
     rig = Rig()
-    with rig.fleet.notices.wait_for_turns([ENDPOINT], 1):
+    with rig.fleet.notices.wait_for_credits([ENDPOINT], 1):
         assert rig.expedited == 1
         report = Report()
         rig.exchange.fill_report(report, LEADER)
@@ -131,7 +131,7 @@
     rig = Rig(leads=True)
     rig.exchange.issue()
     rig.now += 5.0
-    with rig.fleet.notices.wait_for_turns([ENDPOINT], 1):
-        assert len(rig.limit.turns) == 1
-        with rig.fleet.notices.wait_for_turns([ENDPOINT], 2):
-            assert len(rig.limit.turns) == 2
+    with rig.fleet.notices.wait_for_credits([ENDPOINT], 1):
+        assert len(rig.limit.credits) == 1
+        with rig.fleet.notices.wait_for_credits([ENDPOINT], 2):
+            assert len(rig.limit.credits) == 2
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -10,11 +10,20 @@
 from kestreltally.entry.request import ClientRequest
 from kestreltally.fleet.model import Endpoint, EndpointId, RequestKind, ServiceSpec
 from kestreltally.platform.headers import RequestHead
-from kestreltally.poison.ends import REMEMBER_FOR, SILENT_FOR, EndWatch, Flight
-from kestreltally.poison.facts import Life, Sighting, name_life
+from kestreltally.poison.crashes import (
+    FLIGHT_RETENTION,
+    MIN_SILENCE,
+    Attempt,
+    CrashDetector,
+)
+from kestreltally.poison.facts import Life, Sighting, format_life
 from kestreltally.poison.fingerprints import make_fingerprint, make_outline
 from kestreltally.poison.register import PoisonRegister
-from kestreltally.poison.secret import MAKE_AFTER, MAKE_BLIND_AFTER, SharedSecret
+from kestreltally.poison.secret import (
+    MAKE_DELAY,
+    MAKE_DELAY_WITHOUT_STORE,
+    SharedSecret,
+)
 from tests.clocks import ManualClock
 from tests.entryrig import (
     PLAIN,
@@ -45,7 +54,7 @@
 
 @dataclass
 class Rig:
-    """An ``EndWatch`` with a manual clock and scripted endpoints."""
+    """An ``CrashDetector`` with a manual clock and scripted endpoints."""
 
     clock: ManualClock = field(default_factory=ManualClock)
     received_at: float = 0.0
@@ -55,17 +64,17 @@
         self.secret = SharedSecret(self.clock)
         self.secret.value = SECRET
         self.register = PoisonRegister(self.clock)
-        self.watch = EndWatch(
+        self.watch = CrashDetector(
             self.register, self.secret, lambda _: self.received_at, self.clock
         )
-        self.watch.find_staying = lambda _: make_endpoint() if self.stays else None
+        self.watch.get_serving = lambda _: make_endpoint() if self.stays else None
 
-    def send(self, endpoint: Endpoint, request: ClientRequest | None = None) -> Flight:
-        return self.watch.begin(request or make_request(), endpoint)
+    def send(self, endpoint: Endpoint, request: ClientRequest | None = None) -> Attempt:
+        return self.watch.start(request or make_request(), endpoint)
 
     def list_incarnations(self, request: ClientRequest | None = None) -> set[Life]:
         digest = make_fingerprint(request or make_request(), SECRET).digest
-        facts = self.register.news.list_since(0)
+        facts = self.register.fact_log.list_since(0)
         return {
             each.life  # type: ignore[union-attr]
             for each in facts
@@ -89,17 +98,17 @@
     rig = Rig()
     endpoint = make_endpoint(reserve_port())
     flight = rig.send(endpoint)
-    flight.broke = True
+    flight.broken_off = True
     rig.watch.end(flight)
     await asyncio.sleep(0.1)
-    assert rig.list_incarnations() == {name_life(endpoint)}
+    assert rig.list_incarnations() == {format_life(endpoint)}
 
 
 async def test_broken_connection_to_a_listening_endpoint_is_not_an_end() -> None:
     rig = Rig()
     async with listen() as port:
         flight = rig.send(make_endpoint(port))
-        flight.broke = True
+        flight.broken_off = True
         rig.watch.end(flight)
         await asyncio.sleep(0.1)
     assert rig.list_incarnations() == set()
@@ -110,27 +119,27 @@
     endpoint = make_endpoint(reserve_port())
     rig.send(endpoint)
     rig.watch.record_refused(endpoint)
-    rig.watch.note_gone(endpoint)
-    rig.watch.note_replaced(endpoint)
+    rig.watch.record_removed(endpoint)
+    rig.watch.record_replaced(endpoint)
     assert rig.list_incarnations() == set()
 
 
-END_SIGNS: list[Callable[[EndWatch, Endpoint], None]] = [
-    EndWatch.record_refused,
-    EndWatch.note_gone,
-    EndWatch.note_replaced,
+END_SIGNS: list[Callable[[CrashDetector, Endpoint], None]] = [
+    CrashDetector.record_refused,
+    CrashDetector.record_removed,
+    CrashDetector.record_replaced,
 ]
 
 
 @pytest.mark.parametrize("signal_end", END_SIGNS, ids=lambda each: each.__name__)
 async def test_hanging_request_is_linked_to_the_end_of_its_endpoint(
-    signal_end: Callable[[EndWatch, Endpoint], None],
+    signal_end: Callable[[CrashDetector, Endpoint], None],
 ) -> None:
     rig = Rig()
     rig.send(make_endpoint())
-    rig.clock.now += SILENT_FOR + 0.1
+    rig.clock.now += MIN_SILENCE + 0.1
     signal_end(rig.watch, make_endpoint())
-    assert rig.list_incarnations() == {name_life(make_endpoint())}
+    assert rig.list_incarnations() == {format_life(make_endpoint())}
 
 
 async def test_removed_entry_of_an_answering_endpoint_is_not_an_end() -> None:
@@ -139,8 +148,8 @@
     rig = Rig()
     rig.send(make_endpoint())
     rig.clock.now += 10.0
-    rig.received_at = rig.clock.now - SILENT_FOR / 2
-    rig.watch.note_gone(make_endpoint())
+    rig.received_at = rig.clock.now - MIN_SILENCE / 2
+    rig.watch.record_removed(make_endpoint())
     assert rig.list_incarnations() == set()
 
 
@@ -157,7 +166,7 @@
 async def test_request_that_ended_long_ago_is_not_linked_to_the_end() -> None:
     rig = Rig()
     rig.watch.end(rig.send(make_endpoint()))
-    rig.clock.now += REMEMBER_FOR + 0.1
+    rig.clock.now += FLIGHT_RETENTION + 0.1
     rig.watch.prune_old()
     rig.watch.record_refused(make_endpoint())
     assert rig.list_incarnations() == set()
@@ -168,19 +177,19 @@
     other = make_request(body=b"other")
     rig.send(make_endpoint(born=7))
     rig.send(make_endpoint(born=9), other)
-    rig.watch.note_replaced(make_endpoint(born=7))
+    rig.watch.record_replaced(make_endpoint(born=7))
     assert rig.list_incarnations() and not rig.list_incarnations(other)
 
 
 async def test_successful_run_clears_a_suspected_request() -> None:
     rig = Rig()
     rig.send(make_endpoint())
-    rig.watch.note_replaced(make_endpoint())
+    rig.watch.record_replaced(make_endpoint())
     digest = make_fingerprint(make_request(), SECRET).digest
     assert rig.register.is_suspect(digest)
     rig.clock.now += 1.0
     flight = rig.send(make_endpoint(born=9))
-    flight.whole = flight.answered = True
+    flight.complete = flight.answered = True
     rig.watch.end(flight)
     assert not rig.register.is_suspect(digest)
 
@@ -206,20 +215,20 @@
     clock = ManualClock()
     changes: list[None] = []
     secret = SharedSecret(clock, lambda: changes.append(None))
-    assert secret.lead() == b""
-    secret.has_looked = True
-    clock.now += MAKE_AFTER
-    made = secret.lead()
-    assert len(made) == 16 and secret.lead() == made
-    secret.take(b"\xff" * 16)
+    assert secret.get_or_make() == b""
+    secret.store_checked = True
+    clock.now += MAKE_DELAY
+    made = secret.get_or_make()
+    assert len(made) == 16 and secret.get_or_make() == made
+    secret.apply(b"\xff" * 16)
     assert secret.value == made and not changes
-    secret.take(b"\0" * 16)
+    secret.apply(b"\0" * 16)
     assert secret.value == b"\0" * 16 and len(changes) == 1
     blind = SharedSecret(clock)
-    clock.now += MAKE_AFTER
-    assert blind.lead() == b""
-    clock.now += MAKE_BLIND_AFTER
-    assert blind.lead() != b""
+    clock.now += MAKE_DELAY
+    assert blind.get_or_make() == b""
+    clock.now += MAKE_DELAY_WITHOUT_STORE
+    assert blind.get_or_make() != b""
 
 
 @pytest.mark.parametrize(
--- a/tests/test_identity.py
+++ b/tests/test_identity.py
@@ -29,7 +29,7 @@
 )
 from kestreltally.platform.documents import MalformedDocument, decode_configuration
 from kestreltally.platform.store import REWRITE_WINDOW, StoredObject, StoreError
-from kestreltally.quotas.spending import Word
+from kestreltally.quotas.spending import Throttle
 from tests.clocks import ManualClock
 from tests.entryrig import (
     EntryRig,
@@ -140,10 +140,10 @@
     endpoint = ScriptedEndpoint("e", answer)
     async with run_entry([endpoint], make_route()) as rig:
         put_organisations(rig, ALPHA, BETA)
-        rig.limiter.note_words([Word(ALPHA.name, 0.0, 5_000.0, 1.5)])
+        rig.limiter.apply_throttles([Throttle(ALPHA.name, 0.0, 5_000.0, 1.5)])
         refused = await rig.ask(headers=make_key_headers("key-a"))
         other = await rig.ask(headers=make_key_headers("key-b"))
-        spent = rig.limiter.take_spendings()
+        spent = rig.limiter.pop_spendings()
     assert (refused.status, refused.headers["retry-after"]) == (429, "1.50")
     assert other.status == 200
     # A plain request counts the fixed units of its quota, and was not granted.
@@ -154,7 +154,7 @@
     async with run_entry([], make_route()) as rig:
         put_organisations(rig, ALPHA)
         reply = await rig.ask(headers=make_key_headers("key-a"))
-        spent = rig.limiter.take_spendings()
+        spent = rig.limiter.pop_spendings()
     assert reply.status == 503
     assert [(each.asked, each.granted) for each in spent] == [(200, 0)]
 
--- a/tests/test_limit_table.py
+++ b/tests/test_limit_table.py
@@ -7,14 +7,14 @@
 import pytest
 from multidict import CIMultiDict
 
-from kestreltally.fleet.limits import (
-    AHEAD,
-    ALONE_MOST,
-    Lending,
-    LimitStanding,
+from kestreltally.fleet.model import EMPTY_NOTICE, EndpointId, KnownNotice, Notice
+from kestreltally.fleet.notices import FOREVER, RETENTION, NoticeTable, Unavailable
+from kestreltally.fleet.rate_limits import (
+    MAX_ISOLATED,
+    PREFETCH_URGENCY,
+    IssuerState,
+    RateLimitState,
 )
-from kestreltally.fleet.model import SILENT, EndpointId, KnownNotice, Notice
-from kestreltally.fleet.notices import FOR_EVER, RETENTION, NoticeTable, NotWanted
 from kestreltally.placing.turns import Borrower, TurnLender, find_leased_terms
 from kestreltally.platform.headers import list_unrecognised, read_notice
 from tests.limitsim import play
@@ -22,12 +22,12 @@
 from tests.windows import WINDOW
 
 LIMITED = Notice(leaves=False, rest=0.0, limit=2.0)
-HEARD = Lending(heard=True, daemons=6)
+HEARD = IssuerState(known=True, daemons=6)
 E = EndpointId("e")
 
 
 @pytest.mark.parametrize(
-    ("values", "limit", "unclear"),
+    ("values", "limit", "malformed"),
     [
         (["2.9"], 2.9, False),
         ([" 4 "], 4.0, False),
@@ -48,48 +48,50 @@
     ],
 )
 def test_each_limit_has_one_meaning(
-    values: list[str], limit: float | None, unclear: bool
+    values: list[str], limit: float | None, malformed: bool
 ) -> None:
     headers = CIMultiDict([("Server-Limit", value) for value in values])
     for status in (200, 421, 500, 503):
-        expected = Notice(leaves=False, rest=0.0, limit=limit, unclear=unclear)
+        expected = Notice(leaves=False, rest=0.0, limit=limit, malformed=malformed)
         assert read_notice(status, headers) == expected
     assert list_unrecognised(200, headers) == []
 
 
 def test_what_cannot_be_read_neither_begins_nor_ends_a_limit() -> None:
-    unclear = Notice(leaves=False, rest=0.0, unclear=True)
-    standing = LimitStanding()
-    assert not standing.hear(unclear, NOW, NOW, signed=True)
+    malformed = Notice(leaves=False, rest=0.0, malformed=True)
+    standing = RateLimitState()
+    assert not standing.receive(malformed, NOW, NOW, from_request=True)
     assert standing.limit is None
-    standing.hear(LIMITED, NOW, NOW, signed=True)
-    assert not standing.hear(unclear, NOW + 1, NOW + 1, signed=True)
+    standing.receive(LIMITED, NOW, NOW, from_request=True)
+    assert not standing.receive(malformed, NOW + 1, NOW + 1, from_request=True)
     assert standing.limit == 2.0
 
 
 def test_only_an_answer_to_what_was_sent_later_ends_a_limit() -> None:
-    standing = LimitStanding()
-    assert standing.hear(LIMITED, NOW, NOW + 0.1, signed=True)
-    assert not standing.hear(SILENT, NOW + 0.05, NOW + 0.2, signed=True)
+    standing = RateLimitState()
+    assert standing.receive(LIMITED, NOW, NOW + 0.1, from_request=True)
+    assert not standing.receive(EMPTY_NOTICE, NOW + 0.05, NOW + 0.2, from_request=True)
     assert standing.limit == 2.0
     # Reports and orders may not tell limits at all.
-    assert not standing.hear(SILENT, NOW + 0.2, NOW + 0.3, signed=False)
-    assert standing.hear(SILENT, NOW + 0.3, NOW + 0.4, signed=True)
+    assert not standing.receive(EMPTY_NOTICE, NOW + 0.2, NOW + 0.3, from_request=False)
+    assert standing.receive(EMPTY_NOTICE, NOW + 0.3, NOW + 0.4, from_request=True)
     assert standing.limit is None
     # Where they do, they end them too.
-    standing.hear(LIMITED, NOW + 1, NOW + 1, signed=False)
-    assert standing.hear(SILENT, NOW + 2, NOW + 2, signed=False)
+    standing.receive(LIMITED, NOW + 1, NOW + 1, from_request=False)
+    assert standing.receive(EMPTY_NOTICE, NOW + 2, NOW + 2, from_request=False)
     assert standing.limit is None
 
 
 def test_an_older_answer_only_makes_a_limit_stricter() -> None:
-    standing = LimitStanding()
-    standing.hear(LIMITED, NOW, NOW + 0.1, signed=True)
-    standing.hear(replace(LIMITED, limit=3.0), NOW, NOW + 0.2, signed=True)
+    standing = RateLimitState()
+    standing.receive(LIMITED, NOW, NOW + 0.1, from_request=True)
+    standing.receive(replace(LIMITED, limit=3.0), NOW, NOW + 0.2, from_request=True)
     assert standing.limit == 2.0
-    standing.hear(replace(LIMITED, limit=1.5), NOW, NOW + 0.2, signed=True)
+    standing.receive(replace(LIMITED, limit=1.5), NOW, NOW + 0.2, from_request=True)
     assert standing.limit == 1.5
-    standing.hear(replace(LIMITED, limit=3.0), NOW + 0.3, NOW + 0.4, signed=True)
+    standing.receive(
+        replace(LIMITED, limit=3.0), NOW + 0.3, NOW + 0.4, from_request=True
+    )
     assert standing.limit == 3.0
 
 
@@ -101,31 +103,31 @@
         table.record(ENDPOINT, replace(LIMITED, limit=limit), NOW + number)
     assert len(news) == 1
     table.record(ENDPOINT, replace(LIMITED, limit=1.0), NOW + 9)
-    table.record(ENDPOINT, SILENT, NOW + 10)
+    table.record(ENDPOINT, EMPTY_NOTICE, NOW + 10)
     assert len(news) == 3
 
 
 def test_in_whatever_order_words_come_the_newest_holds_at_all() -> None:
     words = [(2.0, 1), (None, 2), (5.0, 3), (4.0, 3), (None, 3)]
     for order in permutations(words):
-        standing = LimitStanding()
+        standing = RateLimitState()
         for limit, version in order:
-            standing.take_told(limit, version, NOW)
-            standing.take_told(limit, version, NOW)
+            standing.apply_reported(limit, version, NOW)
+            standing.apply_reported(limit, version, NOW)
         assert (standing.limit, standing.version) == (4.0, 3)
 
 
 def test_a_daemon_that_hears_the_end_tells_all_and_it_is_forgotten() -> None:
     first, second = NoticeTable(), NoticeTable()
     first.record(ENDPOINT, LIMITED, NOW)
-    second.take_told(first.list_known(NOW), NOW)
-    assert second.is_limited(ENDPOINT)
-    second.record(ENDPOINT, SILENT, NOW + 1)
+    second.apply_reported(first.list_known(NOW), NOW)
+    assert second.is_rate_limited(ENDPOINT)
+    second.record(ENDPOINT, EMPTY_NOTICE, NOW + 1)
     for after in range(1, 70):
         # They tell each other all the time.
-        first.take_told(second.list_known(NOW + after), NOW + after)
-        second.take_told(first.list_known(NOW + after), NOW + after)
-        assert not first.is_limited(ENDPOINT)
+        first.apply_reported(second.list_known(NOW + after), NOW + after)
+        second.apply_reported(first.list_known(NOW + after), NOW + after)
+        assert not first.is_rate_limited(ENDPOINT)
         first.prune_old({ENDPOINT.id}, NOW + after)
         second.prune_old({ENDPOINT.id}, NOW + after)
     assert first.list_known(NOW + RETENTION + 10) == []
@@ -137,91 +139,91 @@
     table.record(ENDPOINT, LIMITED, NOW)
     for after in range(200):
         table.prune_old({ENDPOINT.id}, NOW + after)
-    assert table.is_limited(ENDPOINT)
+    assert table.is_rate_limited(ENDPOINT)
 
 
 def test_another_start_of_an_endpoint_has_no_limit() -> None:
     table = NoticeTable()
     table.record(ENDPOINT, LIMITED, NOW)
-    assert table.find_rest(ENDPOINT, NOW) > 0
-    assert table.find_rest(REBORN, NOW) == 0.0
-    table.begin_send(REBORN, NOW)
+    assert table.compute_backoff(ENDPOINT, NOW) > 0
+    assert table.compute_backoff(REBORN, NOW) == 0.0
+    table.start_send(REBORN, NOW)
 
 
 def test_leaving_rest_and_limit_hold_together() -> None:
     table = NoticeTable()
-    table.find_lending = lambda _: HEARD
+    table.get_issuer_state = lambda _: HEARD
     table.record(ENDPOINT, replace(RESTING, limit=2.0), NOW)
-    limit = table.find_limit(ENDPOINT.id, ENDPOINT.born)
+    limit = table.get_rate_limit(ENDPOINT.id, ENDPOINT.born)
     assert limit is not None
-    limit.turns.append(NOW + 60)
-    assert table.find_rest(ENDPOINT, NOW) == 3.0
-    with pytest.raises(NotWanted):
-        table.begin_send(ENDPOINT, NOW + 1)
+    limit.credits.append(NOW + 60)
+    assert table.compute_backoff(ENDPOINT, NOW) == 3.0
+    with pytest.raises(Unavailable):
+        table.start_send(ENDPOINT, NOW + 1)
     # After the rest, one tries it, with its turn.
-    assert table.begin_send(ENDPOINT, NOW + 3)
-    assert limit.turns == []
+    assert table.start_send(ENDPOINT, NOW + 3)
+    assert limit.credits == []
     table.record(ENDPOINT, replace(LEAVING, limit=2.0), NOW + 4)
-    assert table.find_rest(ENDPOINT, NOW + 4) == FOR_EVER
-    assert table.list_limits() == []
+    assert table.compute_backoff(ENDPOINT, NOW + 4) == FOREVER
+    assert table.list_rate_limits() == []
 
 
 def test_each_call_takes_a_turn_and_turns_end() -> None:
     table = NoticeTable()
-    table.find_lending = lambda _: HEARD
+    table.get_issuer_state = lambda _: HEARD
     table.record(ENDPOINT, LIMITED, NOW)
-    with pytest.raises(NotWanted):
-        table.begin_send(ENDPOINT, NOW)
-    limit = table.find_limit(ENDPOINT.id, ENDPOINT.born)
+    with pytest.raises(Unavailable):
+        table.start_send(ENDPOINT, NOW)
+    limit = table.get_rate_limit(ENDPOINT.id, ENDPOINT.born)
     assert limit is not None
-    limit.turns += [NOW + 0.4, NOW + 0.2]
-    table.begin_send(ENDPOINT, NOW + 0.1)
+    limit.credits += [NOW + 0.4, NOW + 0.2]
+    table.start_send(ENDPOINT, NOW + 0.1)
     # The one that ended first was used first.
-    assert limit.turns == [NOW + 0.4]
-    with pytest.raises(NotWanted):
-        table.begin_send(ENDPOINT, NOW + 0.4)
+    assert limit.credits == [NOW + 0.4]
+    with pytest.raises(Unavailable):
+        table.start_send(ENDPOINT, NOW + 0.4)
 
 
 def test_requests_return_by_steps_once_a_limit_is_over() -> None:
     table = NoticeTable()
-    table.find_lending = lambda _: HEARD
+    table.get_issuer_state = lambda _: HEARD
     told = KnownNotice(ENDPOINT.id, ENDPOINT.born, False, 0.0, 2.0, 1)
-    table.take_told([told], NOW)
-    table.take_told([replace(told, limit=None, limit_version=2)], NOW + 1)
-    assert table.begin_send(ENDPOINT, NOW + 1)
-    with pytest.raises(NotWanted):
-        table.begin_send(ENDPOINT, NOW + 1)
+    table.apply_reported([told], NOW)
+    table.apply_reported([replace(told, limit=None, limit_version=2)], NOW + 1)
+    assert table.start_send(ENDPOINT, NOW + 1)
+    with pytest.raises(Unavailable):
+        table.start_send(ENDPOINT, NOW + 1)
 
 
 @pytest.mark.parametrize(("daemons", "limit"), [(1, 2.9), (6, 2.9), (12, 8.0)])
 def test_without_a_lender_all_together_keep_to_half_a_limit(
     daemons: int, limit: float
 ) -> None:
-    nobody = Lending(heard=False, daemons=daemons)
-    standings = [LimitStanding() for _ in range(daemons)]
+    nobody = IssuerState(known=False, daemons=daemons)
+    standings = [RateLimitState() for _ in range(daemons)]
     times = []
     for standing in standings:
-        standing.take_told(limit, 1, NOW)
+        standing.apply_reported(limit, 1, NOW)
     for step in range(1000):
         now = NOW + step / 100
         for standing in standings:
             if standing.compute_wait(nobody, now) == 0.0:
-                assert standing.take(nobody, now)
+                assert standing.use_credit(nobody, now)
                 times.append(now)
     windows = (sum(at <= each < at + WINDOW for each in times) for at in times)
     assert 0 < max(windows) <= 0.5 * limit * WINDOW + daemons
-    assert daemons <= ALONE_MOST + limit
+    assert daemons <= MAX_ISOLATED + limit
 
 
 @pytest.mark.parametrize("daemons", [None, 79, 1_100])
 def test_without_a_lender_nobody_of_many_or_of_unknown_number_calls(
     daemons: int | None,
 ) -> None:
-    nobody = Lending(heard=False, daemons=daemons)
-    standing = LimitStanding()
-    standing.take_told(2.9, 1, NOW)
+    nobody = IssuerState(known=False, daemons=daemons)
+    standing = RateLimitState()
+    standing.apply_reported(2.9, 1, NOW)
     assert standing.compute_wait(nobody, NOW + 100) > 0
-    assert not standing.take(nobody, NOW + 100)
+    assert not standing.use_credit(nobody, NOW + 100)
 
 
 class Rig:
@@ -230,8 +232,8 @@
     def __init__(self, count: int, limit: float) -> None:
         self.now = NOW
         self.borrowers = [Borrower() for _ in range(count)]
-        self.limit = LimitStanding()
-        self.limit.take_told(limit, 1, NOW)
+        self.limit = RateLimitState()
+        self.limit.apply_reported(limit, 1, NOW)
         self.lender = TurnLender(
             Borrower(), lambda _: self.borrowers, lambda *_: None, lambda: self.now
         )
@@ -249,7 +251,7 @@
     rig = Rig(3, 2.0)
     rig.borrowers[0].wanted = {E: {3: 5}}
     rig.borrowers[1].wanted = {E: {1: 1, 3: 1}}
-    rig.borrowers[2].wanted = {E: {AHEAD: 9}}
+    rig.borrowers[2].wanted = {E: {PREFETCH_URGENCY: 9}}
     order = []
     for _ in range(6):
         before = rig.list_lent()
@@ -285,11 +287,11 @@
     rig.now += 0.1
     rig.issue()
     assert 5.0 < rig.limit.wait < 12.0
-    assert rig.limit.is_short()
-    rig.borrowers[0].wanted = {E: {AHEAD: 3}}
+    assert rig.limit.is_constrained()
+    rig.borrowers[0].wanted = {E: {PREFETCH_URGENCY: 3}}
     rig.now += 0.1
     rig.issue()
-    assert not rig.limit.is_short()
+    assert not rig.limit.is_constrained()
 
 
 @pytest.mark.parametrize("seed", range(3))
--- a/tests/test_lives.py
+++ b/tests/test_lives.py
@@ -68,7 +68,7 @@
     rig = LeaderRig()
     try:
         engine = rig.engines["e1"]
-        engine.begin_again(BORN + 9)
+        engine.start_again(BORN + 9)
         rig.leader.put_endpoint(make_engine_row(engine))
         before = replace(make_engine_row(engine), born=BORN, weights=dict(HELD))
         rig.leader.put_endpoint(before)
@@ -97,7 +97,7 @@
             if draw.random() < 0.1:
                 born += 1
                 engine = draw.choice(list(rig.engines.values()))
-                engine.begin_again(born)
+                engine.start_again(born)
                 if draw.random() < 0.5:
                     rig.leader.put_endpoint(make_engine_row(engine))
         assert all(engine.fell == 0 for engine in rig.engines.values())
@@ -115,7 +115,7 @@
         assert (await rig.ask("north-1", "/m/x", "a1")).whole
         for engine in rig.engines:
             if engine.model:
-                engine.begin_again()
+                engine.start_again()
         await asyncio.sleep(1.2)
         engines = {engine.id: engine for engine in rig.engines}
         for daemon in rig.daemons.values():
--- a/tests/test_notice_table.py
+++ b/tests/test_notice_table.py
@@ -9,7 +9,7 @@
 from multidict import CIMultiDict
 
 from kestreltally.fleet.model import (
-    SILENT,
+    EMPTY_NOTICE,
     Endpoint,
     EndpointId,
     KnownNotice,
@@ -17,12 +17,12 @@
     ServiceName,
 )
 from kestreltally.fleet.notices import (
-    FOR_EVER,
+    FOREVER,
+    MAX_TRIALS,
     RETENTION,
-    RISEN,
-    TRIAL_MOST,
+    TRIAL_TIMEOUT,
     NoticeTable,
-    NotWanted,
+    Unavailable,
 )
 from kestreltally.platform.headers import MAX_BACKOFF, read_notice
 
@@ -72,7 +72,7 @@
     headers = CIMultiDict([("Retry-After", value) for value in values])
     assert read_notice(503, headers) == Notice(leaves=False, rest=rest)
     # Only who turns a request away asks for rest with it.
-    assert read_notice(429, headers) == read_notice(200, headers) == SILENT
+    assert read_notice(429, headers) == read_notice(200, headers) == EMPTY_NOTICE
 
 
 @given(draw.lists(draw.text(max_size=40), max_size=4), draw.text(max_size=5))
@@ -87,20 +87,20 @@
 def test_leaving_ends_with_that_start_of_the_endpoint() -> None:
     table = NoticeTable()
     table.record(ENDPOINT, LEAVING, NOW)
-    assert table.heed(ENDPOINT).leaving
-    assert table.find_rest(ENDPOINT, NOW + 50) == FOR_EVER
-    table.record(ENDPOINT, SILENT, NOW + 1)
-    assert table.heed(ENDPOINT).leaving
-    assert not table.heed(REBORN).leaving
-    assert table.find_rest(REBORN, NOW) == 0.0
+    assert table.apply_to(ENDPOINT).leaving
+    assert table.compute_backoff(ENDPOINT, NOW + 50) == FOREVER
+    table.record(ENDPOINT, EMPTY_NOTICE, NOW + 1)
+    assert table.apply_to(ENDPOINT).leaving
+    assert not table.apply_to(REBORN).leaving
+    assert table.compute_backoff(REBORN, NOW) == 0.0
 
 
 def test_a_late_answer_of_an_earlier_start_says_nothing_of_the_newer() -> None:
     table = NoticeTable()
     table.record(REBORN, RESTING, NOW)
     table.record(ENDPOINT, LEAVING, NOW + 1)
-    assert not table.heed(REBORN).leaving
-    assert table.find_rest(REBORN, NOW + 1) == 2.0
+    assert not table.apply_to(REBORN).leaving
+    assert table.compute_backoff(REBORN, NOW + 1) == 2.0
 
 
 def test_nothing_leaves_for_an_endpoint_that_rests_and_one_tries_it_then() -> None:
@@ -108,51 +108,51 @@
     table.record(ENDPOINT, RESTING, NOW)
     table.record(ENDPOINT, replace(RESTING, rest=1.0), NOW + 0.5)
     for after in (0.0, 1.6, 2.9):
-        with pytest.raises(NotWanted):
-            table.begin_send(ENDPOINT, NOW + after)
-    assert table.begin_send(ENDPOINT, NOW + 3.0)
-    with pytest.raises(NotWanted):
-        table.begin_send(ENDPOINT, NOW + 3.1)
+        with pytest.raises(Unavailable):
+            table.start_send(ENDPOINT, NOW + after)
+    assert table.start_send(ENDPOINT, NOW + 3.0)
+    with pytest.raises(Unavailable):
+        table.start_send(ENDPOINT, NOW + 3.1)
     # With each answer one more may be under way, until nobody counts any more.
-    for allowed in range(2, RISEN):
-        table.record(ENDPOINT, SILENT, NOW + 3.2)
+    for allowed in range(2, MAX_TRIALS):
+        table.record(ENDPOINT, EMPTY_NOTICE, NOW + 3.2)
         table.end_trial(ENDPOINT)
         sent = 0
-        while table.find_rest(ENDPOINT, NOW + 3.2) == 0.0:
-            table.begin_send(ENDPOINT, NOW + 3.2)
+        while table.compute_backoff(ENDPOINT, NOW + 3.2) == 0.0:
+            table.start_send(ENDPOINT, NOW + 3.2)
             sent += 1
         assert sent == allowed
         for _ in range(sent - 1):
             table.end_trial(ENDPOINT)
-    table.record(ENDPOINT, SILENT, NOW + 3.2)
-    assert table.begin_send(ENDPOINT, NOW + 3.2) is False
-    assert not table.begin_send(ENDPOINT, NOW + 3.2)
+    table.record(ENDPOINT, EMPTY_NOTICE, NOW + 3.2)
+    assert table.start_send(ENDPOINT, NOW + 3.2) is False
+    assert not table.start_send(ENDPOINT, NOW + 3.2)
 
 
 def test_a_trial_that_gets_no_answer_is_followed_by_another() -> None:
     table = NoticeTable()
     table.record(ENDPOINT, RESTING, NOW)
-    assert table.begin_send(ENDPOINT, NOW + 3.0)
-    assert table.find_rest(ENDPOINT, NOW + 3.1) > 0
-    assert table.begin_send(ENDPOINT, NOW + 3.0 + TRIAL_MOST)
+    assert table.start_send(ENDPOINT, NOW + 3.0)
+    assert table.compute_backoff(ENDPOINT, NOW + 3.1) > 0
+    assert table.start_send(ENDPOINT, NOW + 3.0 + TRIAL_TIMEOUT)
     table.end_trial(ENDPOINT)
-    assert table.begin_send(ENDPOINT, NOW + 3.1 + TRIAL_MOST)
+    assert table.start_send(ENDPOINT, NOW + 3.1 + TRIAL_TIMEOUT)
 
 
 def test_an_answer_to_what_was_sent_before_does_not_end_a_rest() -> None:
     table = NoticeTable()
     table.record(ENDPOINT, RESTING, NOW)
-    table.record(ENDPOINT, SILENT, NOW + 0.2)
-    assert table.find_rest(ENDPOINT, NOW + 0.2) == pytest.approx(2.8)
+    table.record(ENDPOINT, EMPTY_NOTICE, NOW + 0.2)
+    assert table.compute_backoff(ENDPOINT, NOW + 0.2) == pytest.approx(2.8)
 
 
 def test_what_another_daemon_was_asked_binds_nobody_here_but_the_planning() -> None:
     table = NoticeTable()
     told = KnownNotice(ENDPOINT.id, ENDPOINT.born, leaves=False, rest=2.0)
-    table.take_told([told], NOW)
-    assert table.find_rest(ENDPOINT, NOW) == 0.0
-    assert table.is_short(ENDPOINT, NOW + 1.9)
-    assert not table.is_short(ENDPOINT, NOW + 2.1)
+    table.apply_reported([told], NOW)
+    assert table.compute_backoff(ENDPOINT, NOW) == 0.0
+    assert table.is_constrained(ENDPOINT, NOW + 1.9)
+    assert not table.is_constrained(ENDPOINT, NOW + 2.1)
     # It is not told on as if this daemon had been asked.
     assert table.list_known(NOW) == []
 
@@ -163,8 +163,8 @@
     second.notify_change = news.append
     first.record(ENDPOINT, LEAVING, NOW)
     for _ in range(3):
-        second.take_told(first.list_known(NOW), NOW)
-    assert second.heed(ENDPOINT).leaving
+        second.apply_reported(first.list_known(NOW), NOW)
+    assert second.apply_to(ENDPOINT).leaving
     assert news == [ENDPOINT.id]
     assert second.list_known(NOW) == first.list_known(NOW)
 
@@ -194,13 +194,13 @@
             rests_until, asleep = max(rests_until, now + rest), True
             answers = 0
         elif random.random() < 0.5:
-            table.record(ENDPOINT, SILENT, now)
+            table.record(ENDPOINT, EMPTY_NOTICE, now)
             if asleep and now >= rests_until:
                 answers += 1
-                asleep = 1 + answers < RISEN
+                asleep = 1 + answers < MAX_TRIALS
         try:
-            trial = table.begin_send(ENDPOINT, now)
-        except NotWanted:
+            trial = table.start_send(ENDPOINT, now)
+        except Unavailable:
             assert asleep
             continue
         assert now >= rests_until
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -23,37 +23,37 @@
 from tests.poisonrig import PoisonRig, make_deadly, run_poison_fleet
 
 # The third end, and those that a word on its way may come too late for.
-ENDS_MOST = 3
+MAX_ENDS = 3
 
 
 async def test_a_request_that_ends_engines_is_soon_stopped_everywhere() -> None:
     async with run_poison_fleet() as rig:
         await rig.send_until_stopped()
-        assert len(rig.crashes) == ENDS_MOST
+        assert len(rig.crashes) == MAX_ENDS
         for number, vm in enumerate(rig.daemons):
             again = await rig.send(vm, make_deadly(), f"again-{number}")
             assert again is not None and again.status == 503
             assert float(again.headers["retry-after"]) > 60
             reply = await rig.send(vm, b"sound", f"sound-{number}")
             assert reply is not None and reply.status == 200 and reply.whole
-        assert len(rig.crashes) == ENDS_MOST
+        assert len(rig.crashes) == MAX_ENDS
 
 
-async def have_it_stopped(rig: PoisonRig) -> list[str]:
+async def get_request_stopped(rig: PoisonRig) -> list[str]:
     """Have a request stopped; return the daemons."""
     await rig.send_until_stopped()
-    assert len(rig.crashes) == ENDS_MOST
+    assert len(rig.crashes) == MAX_ENDS
     return list(rig.daemons)
 
 
 async def test_an_operator_lets_a_stopped_request_run_again() -> None:
     async with run_poison_fleet() as rig:
-        vms = await have_it_stopped(rig)
+        vms = await get_request_stopped(rig)
         async with ClientSession() as session:
             url = f"http://127.0.0.1:{rig.daemons[vms[1]]._deployment.metrics_port}"
             async with session.get(f"{url}/poison") as answer:
                 (listed,) = await answer.json()
-            assert listed["ends"] == ENDS_MOST and listed["stopped"]
+            assert listed["ends"] == MAX_ENDS and listed["stopped"]
             pardon = f"{url}/poison/pardon?content="
             async with session.post(f"{pardon}beef") as answer:
                 assert answer.status == 404 and "beef" in await answer.text()
@@ -68,7 +68,7 @@
     # In a soak a leader that was killed made a new secret as it came back; all others
     # took it, and forgot what they knew of a request that went on ending engines.
     async with run_poison_fleet() as rig:
-        vms = await have_it_stopped(rig)
+        vms = await get_request_stopped(rig)
         leaders = [vm for vm in vms if rig.daemons[vm]._exchange.leaders.leads]
         secret = rig.daemons[vms[0]]._relay.poison.secret.value
         assert secret
@@ -83,12 +83,12 @@
             assert poison.register.count()["stopped"] == 1
             reply = await rig.send(vm, make_deadly(), f"again-{vm}")
             assert reply is not None and reply.status == 503
-        assert len(rig.crashes) == ENDS_MOST
+        assert len(rig.crashes) == MAX_ENDS
 
 
 async def test_what_is_stopped_outlasts_the_loss_of_all_daemons() -> None:
     async with run_poison_fleet() as rig:
-        vms = await have_it_stopped(rig)
+        vms = await get_request_stopped(rig)
         await asyncio.sleep(0.6)
         await asyncio.gather(*(each.close() for each in rig.daemons.values()))
         rig.daemons.clear()
@@ -100,7 +100,7 @@
             assert reply is not None and reply.status == 503
             reply = await rig.send(vm, b"sound", f"sound-{vm}")
             assert reply is not None and reply.status == 200
-        assert len(rig.crashes) == ENDS_MOST
+        assert len(rig.crashes) == MAX_ENDS
 
 
 async def test_odd_records_are_left_out() -> None:
@@ -108,9 +108,9 @@
         await rig.store.put("kestreltally-poison", "north", {"secret": 5})
         await rig.store.put("kestreltally-poison", "other", ["?"])
         leader = await rig.add_daemon("north-9", "north")
-        keeper = leader._keeper
+        keeper = leader._poison_persistence
         await keeper._read()
-        keeper._poison.secret.lead()
+        keeper._poison.secret.get_or_make()
         assert await keeper._write([])
 
 
@@ -118,7 +118,7 @@
     # The store comes back from a copy, and then all daemons are lost at once.
     async with run_poison_fleet() as rig:
         kept = rig.store.copy()
-        await have_it_stopped(rig)
+        await get_request_stopped(rig)
         await asyncio.sleep(1.0)
         assert rig.store._objects["kestreltally-poison"]
         kept.objects["servers"] = rig.store.copy().objects["servers"]
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -8,9 +8,9 @@
 
 from kestreltally.fleet.model import Organisation, OrganisationName, Quota, QuotaUnit
 from kestreltally.quotas.grants import QuotaBounds
-from kestreltally.quotas.ledger import FREE_PART, Ledger
-from kestreltally.quotas.limiters import DEFAULT, LIMITERS, WORD_LIFE
-from kestreltally.quotas.spending import Spending, SpendingCounter, Word
+from kestreltally.quotas.ledger import FREE_FRACTION, Ledger
+from kestreltally.quotas.limiters import DEFAULT, LIMITERS, THROTTLE_TTL
+from kestreltally.quotas.spending import Spending, SpendingCounter, Throttle
 from kestreltally.rates import Bucket, RateMeter
 from tests.clocks import ManualClock
 from tests.quotasim import LOADS, NAME, Load, Simulation
@@ -22,29 +22,29 @@
 
 def make_ledger() -> Ledger:
     ledger = Ledger(BOUNDS)
-    ledger.take_organisations([Organisation(NAME, ("k",), None, QUOTA)])
+    ledger.apply_organisations([Organisation(NAME, ("k",), None, QUOTA)])
     return ledger
 
 
 @pytest.mark.parametrize("load", LOADS[:-1], ids=lambda load: load.name)
 def test_what_runs_stays_within_the_bound(load: Load) -> None:
     outcome = Simulation(load, DEFAULT, seed=7).run()
-    assert outcome.over <= 1.0
+    assert outcome.overrun <= 1.0
 
 
 @pytest.mark.parametrize("load", [LOADS[0], LOADS[4]], ids=lambda load: load.name)
 def test_nothing_below_the_limit_is_refused(load: Load) -> None:
-    assert Simulation(load, DEFAULT, seed=7).run().wrong == 0.0
+    assert Simulation(load, DEFAULT, seed=7).run().wrongly_refused == 0.0
 
 
 def test_equal_parts_refuse_what_unevenly_asked_daemons_may_run() -> None:
     # The simulation tells ways apart: a check of the check.
-    assert Simulation(LOADS[2], "equal", seed=7).run().wrong > 0.2
+    assert Simulation(LOADS[2], "equal", seed=7).run().wrongly_refused > 0.2
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(
-    hot=st.floats(1.0, 8.0),
+    surge=st.floats(1.0, 8.0),
     skew=st.floats(0.0, 2.0),
     daemons=st.integers(3, 60),
     rate=st.sampled_from([2_000.0, 20_000.0, 160_000.0]),
@@ -55,7 +55,7 @@
     seed=st.integers(0, 1_000),
 )
 def test_no_schedule_of_cuts_and_lost_leaders_runs_beyond_the_bound(
-    hot: float,
+    surge: float,
     skew: float,
     daemons: int,
     rate: float,
@@ -69,7 +69,7 @@
         "drawn",
         rate=rate,
         burst=rate,
-        hot=hot,
+        surge=surge,
         skew=skew,
         daemons=daemons,
         cut_off=cut_off,
@@ -78,7 +78,7 @@
         leader_lost_at=lost_at,
         length=14.0,
     )
-    assert Simulation(load, DEFAULT, seed).run().over <= 1.0
+    assert Simulation(load, DEFAULT, seed).run().overrun <= 1.0
 
 
 @pytest.mark.parametrize(
@@ -101,7 +101,7 @@
         "surge",
         rate=20_000.0,
         burst=20_000.0,
-        hot=7.0,
+        surge=7.0,
         skew=skew,
         daemons=daemons,
         cut_off=cut_off,
@@ -109,7 +109,7 @@
         healed_at=healed_at,
         length=14.0,
     )
-    assert Simulation(load, DEFAULT, seed).run().over <= 1.0
+    assert Simulation(load, DEFAULT, seed).run().overrun <= 1.0
 
 
 def test_words_name_only_who_is_near_the_limit() -> None:
@@ -118,20 +118,22 @@
     ledger.record([Spending(NAME, 150, 150)], now=100.0)
     assert ledger.make_throttles(100.0) == []
     ledger.record([Spending(NAME, 4_350, 4_350)], now=100.0)
-    (word,) = ledger.make_throttles(100.0)
-    assert word.ratio < 0.2
-    assert word.wait == pytest.approx((4_500 - FREE_PART * 1_000) / 1_000)
+    (throttle,) = ledger.make_throttles(100.0)
+    assert throttle.ratio < 0.2
+    assert throttle.wait == pytest.approx((4_500 - FREE_FRACTION * 1_000) / 1_000)
     # It has drained by then, as was told.
-    assert all(w.ratio == 1.0 for w in ledger.make_throttles(100.0 + word.wait + 0.01))
+    assert all(
+        w.ratio == 1.0 for w in ledger.make_throttles(100.0 + throttle.wait + 0.01)
+    )
 
 
 def test_all_that_ask_are_named_now_and_then() -> None:
     # Daemons that lose the leaders' word then know their part of what is asked for.
     ledger = make_ledger()
     ledger.record([Spending(NAME, 100, 100)], now=100.0)
-    (word,) = ledger.make_throttles(100.0)
-    assert word.ratio == 1.0
-    assert word.asked > 0
+    (throttle,) = ledger.make_throttles(100.0)
+    assert throttle.ratio == 1.0
+    assert throttle.asked > 0
     assert ledger.make_throttles(100.2) == []
     assert ledger.make_throttles(101.1) != []
 
@@ -160,8 +162,8 @@
         ledger.record_daemon_count(20, now=120.0 + tenth / 10)
     ledger.record_daemon_count(10, now=122.0)
     ledger.record([Spending(NAME, 4_500, 4_500)], now=122.0)
-    (word,) = ledger.make_throttles(122.0)
-    assert word.wait < 1.2 * 4_500 / 1_000
+    (throttle,) = ledger.make_throttles(122.0)
+    assert throttle.wait < 1.2 * 4_500 / 1_000
 
 
 def test_a_cut_off_daemon_goes_on_at_its_pace_below_the_limit() -> None:
@@ -172,7 +174,7 @@
     for step in range(1_000):
         clock.now += 0.01
         if step < 500:
-            limiter.note_words([Word(NAME, ratio=1.0, asked=400.0, wait=0.2)])
+            limiter.apply_throttles([Throttle(NAME, ratio=1.0, asked=400.0, wait=0.2)])
         granted += limiter.grant(NAME, QUOTA, 4) is None
     assert granted > 950
 
@@ -181,21 +183,23 @@
     ledger = make_ledger()
     ledger.record([Spending(NAME, 2_000, 2_000)], now=100.0)
     raised = Quota(QuotaUnit.TOKENS, 50_000.0, 50_000.0, 200)
-    ledger.take_organisations([Organisation(NAME, ("k",), None, raised)])
-    assert all(word.ratio == 1.0 for word in ledger.make_throttles(100.0))
+    ledger.apply_organisations([Organisation(NAME, ("k",), None, raised)])
+    assert all(throttle.ratio == 1.0 for throttle in ledger.make_throttles(100.0))
 
 
 def test_an_organisation_without_a_quota_has_no_account() -> None:
     ledger = Ledger(BOUNDS)
-    ledger.take_organisations([Organisation(NAME, ("k",))])
+    ledger.apply_organisations([Organisation(NAME, ("k",))])
     ledger.record([Spending(NAME, 10**9, 10**9)], now=100.0)
     assert ledger.make_throttles(100.0) == []
 
 
-@pytest.mark.parametrize("way", sorted(LIMITERS))
-def test_the_first_request_of_an_idle_organisation_is_granted(way: str) -> None:
+@pytest.mark.parametrize("limiter_name", sorted(LIMITERS))
+def test_the_first_request_of_an_idle_organisation_is_granted(
+    limiter_name: str,
+) -> None:
     clock = ManualClock()
-    limiter = LIMITERS[way](clock, BOUNDS)
+    limiter = LIMITERS[limiter_name](clock, BOUNDS)
     # No leader has said a word yet, and the request is larger than any share.
     assert limiter.grant(NAME, QUOTA, 50_000) is None
 
@@ -220,7 +224,9 @@
     for step in range(1_000):
         clock.now += 0.01
         if step % 60 == 0:
-            limiter.note_words([Word(NAME, ratio=0.0, asked=10_000.0, wait=1.0)])
+            limiter.apply_throttles(
+                [Throttle(NAME, ratio=0.0, asked=10_000.0, wait=1.0)]
+            )
         granted += 100 * (limiter.grant(NAME, QUOTA, 100) is None)
     # It alone is asked, so its share is the whole: 0.6 of that for ten seconds.
     assert granted <= 0.6 * QUOTA.rate * 10 + 200
@@ -232,7 +238,7 @@
     limiter = LIMITERS["ratio"](clock, BOUNDS)
     granted = {100: 0, 30_000: 0}
     for round_ in range(1_000):
-        limiter.note_words([Word(NAME, ratio=0.3, asked=1e6, wait=1.0)])
+        limiter.apply_throttles([Throttle(NAME, ratio=0.3, asked=1e6, wait=1.0)])
         for size in granted:
             if size == 100 or round_ % 5 == 0:
                 granted[size] += limiter.grant(NAME, QUOTA, size) is None
@@ -243,7 +249,7 @@
 def test_a_refusal_tells_when_the_organisation_is_below_its_limit() -> None:
     clock = ManualClock()
     limiter = LIMITERS[DEFAULT](clock, BOUNDS)
-    limiter.note_words([Word(NAME, ratio=0.0, asked=1e6, wait=1.7)])
+    limiter.apply_throttles([Throttle(NAME, ratio=0.0, asked=1e6, wait=1.7)])
     assert limiter.grant(NAME, QUOTA, 100) == 1.7
 
 
@@ -251,19 +257,19 @@
     clock = ManualClock()
     limiter = LIMITERS[DEFAULT](clock, BOUNDS)
     limiter.daemons = 1
-    limiter.note_words([Word(NAME, ratio=0.0, asked=1e6, wait=1.7)])
-    clock.now += WORD_LIFE + 0.1
+    limiter.apply_throttles([Throttle(NAME, ratio=0.0, asked=1e6, wait=1.7)])
+    clock.now += THROTTLE_TTL + 0.1
     assert limiter.grant(NAME, QUOTA, 100) is None
 
 
 def test_what_did_not_run_is_given_back() -> None:
     clock = ManualClock()
     limiter = LIMITERS[DEFAULT](clock, BOUNDS)
-    limiter.note_words([])
+    limiter.apply_throttles([])
     limiter.grant(NAME, QUOTA, 700)
-    limiter.give_back(NAME, 700)
-    assert limiter.take_spendings() == [Spending(NAME, asked=700, granted=0)]
-    assert limiter.take_spendings() == []
+    limiter.refund(NAME, 700)
+    assert limiter.pop_spendings() == [Spending(NAME, asked=700, granted=0)]
+    assert limiter.pop_spendings() == []
 
 
 def test_spendings_of_long_ago_count_for_less() -> None:
@@ -296,6 +302,6 @@
 def test_organisations_do_not_share_a_limit() -> None:
     clock = ManualClock()
     limiter = LIMITERS[DEFAULT](clock, BOUNDS)
-    limiter.note_words([Word(NAME, ratio=0.0, asked=1e6, wait=1.7)])
+    limiter.apply_throttles([Throttle(NAME, ratio=0.0, asked=1e6, wait=1.7)])
     other = OrganisationName("other")
     assert limiter.grant(other, QUOTA, 100) is None
