--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -10,13 +10,13 @@
 from kestreltally.poison.fingerprints import Digest, Fingerprint
 from kestreltally.poison.register import (
     ENDS_TO_STOP,
-    SETTLE,
-    SIGHTINGS_MOST,
-    STOP_FIRST,
+    INITIAL_STOP_TIME,
+    MAX_SIGHTINGS,
+    SETTLE_TIME,
     PoisonRegister,
 )
-from kestreltally.poison.suspects import MEMORY
-from tests.poisonsim import Sharing, Trouble, play_seeds
+from kestreltally.poison.suspects import SIGHTING_RETENTION
+from tests.poisonsim import Fault, Sharing, play_seeds
 
 
 class Clock:
@@ -62,7 +62,7 @@
     witness, other = PoisonRegister(Clock()), PoisonRegister(Clock())
     before = COUNTS[Decision.POISON_SUSPECTED]
     for fact in see_ends("x", 2):
-        witness.note_own([fact])
+        witness.record_local([fact])
         other.record_reported([fact])
     assert COUNTS[Decision.POISON_SUSPECTED] == before + 1
 
@@ -78,8 +78,8 @@
     register.record_reported(see_ends("bad"))
     held = register.find_block(name("bad").digest)
     assert held is not None and not held.settled
-    assert held.wait == pytest.approx(SETTLE)
-    clock.now += SETTLE
+    assert held.wait == pytest.approx(SETTLE_TIME)
+    clock.now += SETTLE_TIME
     stopped = register.find_block(name("bad").digest)
     assert stopped is not None and stopped.settled
     clock.now += stopped.wait - 0.01
@@ -88,10 +88,10 @@
     assert register.find_block(name("bad").digest) is None
     # It may run then; if it ends one more engine it is stopped for twice as long.
     register.record_reported([see("bad", "e9", clock.now, clock.now + 0.1)])
-    clock.now += 0.1 + SETTLE
+    clock.now += 0.1 + SETTLE_TIME
     again = register.find_block(name("bad").digest)
     assert again is not None and again.settled
-    assert again.wait == pytest.approx(2 * STOP_FIRST - SETTLE)
+    assert again.wait == pytest.approx(2 * INITIAL_STOP_TIME - SETTLE_TIME)
 
 
 def test_many_copies_at_one_moment_are_no_series() -> None:
@@ -102,7 +102,7 @@
             for number in range(8)
         ]
     )
-    clock.now += SETTLE
+    clock.now += SETTLE_TIME
     assert register.find_block(name("hot").digest) is None
 
 
@@ -111,17 +111,17 @@
     close = [(990.0, 990.02), (990.021, 990.04), (990.05, 990.06)]
     facts = [see("bad", f"e{n}", sent, ended) for n, (sent, ended) in enumerate(close)]
     register, clock = make_register(list(facts))
-    clock.now += SETTLE
+    clock.now += SETTLE_TIME
     assert is_stopped(register, "bad")
     others = [replace(each, witness=n) for n, each in enumerate(facts)]
     register, clock = make_register(list(others))
-    clock.now += SETTLE
+    clock.now += SETTLE_TIME
     assert not is_stopped(register, "bad")
 
 
 def test_a_good_run_clears_what_was_before_and_not_what_comes_after() -> None:
     register, clock = make_register([*see_ends("hot")])
-    clock.now += SETTLE
+    clock.now += SETTLE_TIME
     assert is_stopped(register, "hot")
     register.record_reported([make_clearing(name("hot"), 995.0)])
     assert register.find_block(name("hot").digest) is None
@@ -131,7 +131,7 @@
             for number in range(3)
         ]
     )
-    clock.now += SETTLE
+    clock.now += SETTLE_TIME
     assert is_stopped(register, "hot")
 
 
@@ -142,8 +142,8 @@
         for number in range(3)
     ]
     register, clock = make_register([*bystander, *see_ends("bad")])
-    clock.now += SETTLE
-    register.judge()
+    clock.now += SETTLE_TIME
+    register.evaluate()
     assert register.count() == {"suspected": 1.0, "stopped": 1.0}
     assert is_stopped(register, "bad")
     assert register.find_block(name("by").digest) is None
@@ -152,7 +152,7 @@
 def test_what_was_at_more_ends_is_blamed_rather() -> None:
     bystander = [see("by", f"e{n}", 990.0 + n, 990.1 + n) for n in range(3)]
     register, clock = make_register([*bystander, *see_ends("bad", 4)])
-    clock.now += SETTLE
+    clock.now += SETTLE_TIME
     assert is_stopped(register, "bad") and not is_stopped(register, "by")
 
 
@@ -164,72 +164,72 @@
             facts, len(facts)
         )
         register, clock = make_register(drawn)
-        clock.now += SETTLE
+        clock.now += SETTLE_TIME
         assert is_stopped(register, "bad") and not is_stopped(register, "ok")
-        assert len(register.news.list_since(0)) <= len(facts)
+        assert len(register.fact_log.list_since(0)) <= len(facts)
 
 
 def test_each_fact_is_told_once_and_own_ones_until_they_are_heard() -> None:
     register, _ = make_register([])
     facts = see_ends("bad")
-    register.note_own(facts)
-    assert register.news.list_unheard() == facts
-    assert register.news.list_since(0) == facts
-    assert register.news.list_since(1) == facts[1:]
-    register.news.note_echo(facts[:2])
-    assert register.news.list_unheard() == facts[2:]
-    register.news.begin_telling()
-    assert register.news.list_unheard() == facts
+    register.record_local(facts)
+    assert register.fact_log.list_unconfirmed() == facts
+    assert register.fact_log.list_since(0) == facts
+    assert register.fact_log.list_since(1) == facts[1:]
+    register.fact_log.record_echo(facts[:2])
+    assert register.fact_log.list_unconfirmed() == facts[2:]
+    register.fact_log.start_reporting()
+    assert register.fact_log.list_unconfirmed() == facts
 
 
 def test_a_leader_heard_anew_gets_what_it_does_not_tell_whoever_saw_it() -> None:
     facts = see_ends("bad", 4)
     register, _ = make_register(facts[1:])
-    register.note_own(facts[:1])
-    register.news.begin_telling()
-    assert register.news.list_unheard() == facts[:1]
-    register.news.note_echo(facts[:2])
-    register.news.tell_rest()
-    assert register.news.list_unheard() == facts[2:]
+    register.record_local(facts[:1])
+    register.fact_log.start_reporting()
+    assert register.fact_log.list_unconfirmed() == facts[:1]
+    register.fact_log.record_echo(facts[:2])
+    register.fact_log.report_remaining()
+    assert register.fact_log.list_unconfirmed() == facts[2:]
 
 
 def test_a_flood_fills_no_memory_and_pushes_out_nothing_that_is_known() -> None:
     register, clock = make_register(see_ends("bad"))
-    clock.now += SETTLE
+    clock.now += SETTLE_TIME
     assert is_stopped(register, "bad")
-    flood = 2 * SIGHTINGS_MOST
+    flood = 2 * MAX_SIGHTINGS
     for number in range(flood):
         register.record_reported([see(f"odd{number}", f"x{number}", 1000.0, 1000.1)])
     assert is_stopped(register, "bad")
-    assert register.count()["suspected"] <= SIGHTINGS_MOST
-    clock.now += MEMORY
+    assert register.count()["suspected"] <= MAX_SIGHTINGS
+    clock.now += SIGHTING_RETENTION
     register.prune_old()
     assert register.count() == {"suspected": 0.0, "stopped": 0.0}
 
 
 def test_an_operator_pardons_by_what_lines_show() -> None:
     register, clock = make_register(see_ends("bad"))
-    clock.now += SETTLE
+    clock.now += SETTLE_TIME
     assert is_stopped(register, "bad")
     assert register.pardon("00") == 0
     assert register.pardon(str(name("bad"))) == 1
     assert register.find_block(name("bad").digest) is None
     # The others are told.
-    assert isinstance(register.news.list_unheard()[0], Clearing)
+    assert isinstance(register.fact_log.list_unconfirmed()[0], Clearing)
 
 
-@pytest.mark.parametrize("trouble", list(Trouble), ids=lambda each: each.name.lower())
+@pytest.mark.parametrize("fault", list(Fault), ids=lambda each: each.name.lower())
 def test_all_daemons_stop_it_in_time_whatever_befalls_the_word(
-    trouble: Trouble,
+    fault: Fault,
 ) -> None:
     # 200 seeds of each by hand: tests/poisonsim.py.
-    for figures in play_seeds(6, 6, 3, Sharing.LEADERS, trouble):
-        assert figures.late_sends <= 3 and figures.ends <= ENDS_TO_STOP + 2
-        assert figures.others_refused == 0 and figures.others > 500
+    for metrics in play_seeds(6, 6, 3, Sharing.LEADERS, fault):
+        assert metrics.late_sends <= 3 and metrics.ends <= ENDS_TO_STOP + 2
+        assert metrics.others_refused == 0 and metrics.others > 500
 
 
 def test_daemons_that_tell_nothing_do_not_stop_it() -> None:
     assert all(
-        figures.late_sends > 3
-        for figures in play_seeds(3, 6, 3, Sharing.NONE, Trouble.NONE)
+        metrics.late_sends > 3
+        for metrics in play_seeds(3, 6, 3, Sharing.NONE, Fault.NONE)
     )
--- a/tests/test_unread.py
+++ b/tests/test_unknown_signals.py
@@ -3,7 +3,7 @@
 from multidict import CIMultiDict
 
 from kestreltally.decisions import COUNTS, Decision
-from kestreltally.fleet.unread import NAMES_MOST, OTHERS, UnreadWords
+from kestreltally.fleet.unknown_signals import MAX_NAMES, OTHERS, UnknownSignals
 from kestreltally.platform.headers import list_unrecognised
 
 
@@ -28,7 +28,7 @@
 
 
 def test_each_is_counted_and_written_once() -> None:
-    words = UnreadWords()
+    words = UnknownSignals()
     before = COUNTS[Decision.ENDPOINT_WORD_UNREAD]
     for _ in range(3):
         words.record(["server-mood"])
@@ -37,7 +37,7 @@
 
 
 def test_names_without_end_fill_no_memory() -> None:
-    words = UnreadWords()
-    words.record(f"server-{number}" for number in range(3 * NAMES_MOST))
-    assert len(words.count()) == NAMES_MOST + 1
-    assert words.count()[OTHERS] == 2 * NAMES_MOST
+    words = UnknownSignals()
+    words.record(f"server-{number}" for number in range(3 * MAX_NAMES))
+    assert len(words.count()) == MAX_NAMES + 1
+    assert words.count()[OTHERS] == 2 * MAX_NAMES
