--- a/bench/faultsoak/mutations.py
+++ b/bench/faultsoak/mutations.py
@@ -99,7 +99,7 @@
     Mutation(
         name="a lease that is not waited out",
         module="placing/lease.py",
-        before="        return last + ORDER_TRANSIT + self._apart\n",
+        before="        return last + MAX_ORDER_TRANSIT + self._holder_gap\n",
         after="        return now\n",
         action=Action.STORE_PATH,
         mode=ProxyMode.SILENT,
@@ -154,8 +154,8 @@
     ),
     Mutation(
         name="places not counted",
-        module="placing/books.py",
-        before="        return max(0, spec.adapter_places - self.count_taken())\n",
+        module="placing/enginestate.py",
+        before="        return max(0, spec.adapter_places - self.count_occupied())\n",
         after="        return spec.adapter_places\n",
         action=Action.RELOAD,
     ),
--- a/src/kestreltally/fleet/rate_limits.py
+++ b/src/kestreltally/fleet/rate_limits.py
@@ -2,7 +2,7 @@
 
 An overloaded endpoint names how many requests per second it accepts from all daemons
 together. From then on every call to it, of any kind, needs a credit issued by the
-daemon that leads the endpoint (``placing/turns.py``): a total of a few requests per
+daemon that leads the endpoint (``placing/credits.py``): a total of a few requests per
 second, in any window, can only be kept by a single counter. An unused credit expires
 soon, so that credits that are issued and lost do not add to later traffic.
 
--- a/src/kestreltally/fleet_daemon.py
+++ b/src/kestreltally/fleet_daemon.py
@@ -42,13 +42,13 @@
 from kestreltally.logs import LineWriter, set_up_structured_logs
 from kestreltally.placing.leader import Leader
 from kestreltally.placing.lease import (
-    FOREIGN_PATIENCE,
-    TAKE_AFTER,
+    REMOTE_WAIT,
+    TAKEOVER_DELAY,
     Lease,
-    find_weakness,
+    compute_weak_wait,
 )
-from kestreltally.placing.leaseboard import LeaseBoard
-from kestreltally.placing.orders import EngineCaller
+from kestreltally.placing.leasemonitor import LeaseMonitor
+from kestreltally.placing.orders import EngineClient
 from kestreltally.platform.documents import (
     CONFIGURATION_KIND,
     ENDPOINTS_KIND,
@@ -162,7 +162,7 @@
             self._count_watchers,
             self._clock,
         )
-        self._board = LeaseBoard(
+        self._lease_monitor = LeaseMonitor(
             self._store,
             self._leases,
             self._exchange.leaders.should_poll,
@@ -209,15 +209,15 @@
                 deployment.bounds.lease,
                 self._clock,
                 name,
-                TAKE_AFTER
-                + find_weakness(deployment.machine_capacity)
-                + (0.0 if name == deployment.data_centre else FOREIGN_PATIENCE),
+                TAKEOVER_DELAY
+                + compute_weak_wait(deployment.machine_capacity)
+                + (0.0 if name == deployment.data_centre else REMOTE_WAIT),
             )
             for name in deployment.data_centres
         }
 
     def _make_leader(self) -> Leader:
-        caller = EngineCaller(
+        caller = EngineClient(
             self._control_pool,
             self._deployment.vm,
             self._exchange.get_lease,
@@ -236,7 +236,7 @@
             lease.record_start = self._start_leading
         leader.prefill_times = self._relay.finder.prefill_times
         leader.list_uses = self._exchange.list_uses
-        leader.other_wait = self._exchange.get_min_load_wait
+        leader.get_remote_wait = self._exchange.get_min_load_wait
         leader.handover.can_hand_over = self._exchange.can_hand_over
         leader.handover.get_free_capacity = self._exchange.get_free_capacity
         leader.handover.expedite = self._exchange.expedite
@@ -398,7 +398,7 @@
             self._configuration_watch.run,
             self._endpoints_watch.run,
             self._versions_watch.run,
-            self._board.run,
+            self._lease_monitor.run,
             self._leader.run,
             self._exchange.feed.run,
             self._reader.run,
--- a/src/kestreltally/knowledge/credits.py
+++ b/src/kestreltally/knowledge/credits.py
@@ -28,15 +28,15 @@
     encode_notice,
     encode_requested,
 )
-from kestreltally.placing.lease import Lease
-from kestreltally.placing.turns import (
-    Borrower,
+from kestreltally.placing.credits import (
+    CreditDemand,
+    CreditHolder,
+    CreditIssuer,
     Terms,
-    TurnLender,
-    Wanted,
-    find_leased_terms,
-    find_unleased_terms,
+    compute_leased_terms,
+    compute_unleased_terms,
 )
+from kestreltally.placing.lease import Lease
 
 
 class CreditExchange(FeedPart):
@@ -60,8 +60,8 @@
         self._get_lease = get_lease
         self._feed = feed
         self._clock = clock
-        self._local_holder = Borrower()
-        self._issuer = TurnLender(
+        self._local_holder = CreditHolder()
+        self._issuer = CreditIssuer(
             self._local_holder, self._list_credit_holders, self._acquire_local, clock
         )
         # Credits received from each leader over the current connection.
@@ -99,13 +99,15 @@
 
     def _choose_terms(self, endpoint: Endpoint, limit: RateLimitState) -> Terms:
         """Return the terms on which this daemon issues credits of an endpoint."""
-        if self._get_lease(endpoint).holds_alone():
-            return find_leased_terms(limit.rate)
+        if self._get_lease(endpoint).is_sole_holder():
+            return compute_leased_terms(limit.rate)
         leads = self._leads(endpoint)
         daemons = self._feed.count_daemons() if leads else self._feed.count_group()
-        return find_unleased_terms(limit.rate, daemons, self._daemon_count.maximum or 0)
+        return compute_unleased_terms(
+            limit.rate, daemons, self._daemon_count.maximum or 0
+        )
 
-    def _list_credit_holders(self, endpoint: EndpointId) -> Iterator[Borrower]:
+    def _list_credit_holders(self, endpoint: EndpointId) -> Iterator[CreditHolder]:
         yield self._local_holder
         known = self._fleet.endpoints.get(endpoint)
         for peer in self._feed.list_followers():
@@ -120,7 +122,7 @@
             self._issue_timer.cancel()
             self._issue_timer = None
         limits = self._notices.list_rate_limits()
-        self._issuer.forget(name for name, _, _ in limits)
+        self._issuer.retain_pools(name for name, _, _ in limits)
         if not limits or not self._leaders.leads:
             return
         waits = []
@@ -128,7 +130,7 @@
             known = self._fleet.endpoints.get(name)
             if known is None or not self._issues(known):
                 continue
-            self._local_holder.wanted[name] = limit.list_requested(self._clock())
+            self._local_holder.requested[name] = limit.list_requested(self._clock())
             terms = self._choose_terms(known, limit)
             wait = self._issuer.issue(name, born, limit, terms)
             if wait is not None:
@@ -141,7 +143,7 @@
     def _expedite_unreported(self) -> None:
         followers = self._feed.list_followers()
         if any(
-            p.credit_holder.untold for p in (*followers, *self._feed.list_leaders())
+            p.credit_holder.unreported for p in (*followers, *self._feed.list_leaders())
         ):
             self._feed.expedite()
 
@@ -153,7 +155,7 @@
         limit = self._notices.get_rate_limit(endpoint, known.born)
         if limit is not None and expires_at > self._clock():
             limit.credits.append(expires_at)
-            self._local_holder.wanted[endpoint] = limit.list_requested(self._clock())
+            self._local_holder.requested[endpoint] = limit.list_requested(self._clock())
             self.record_credit(known)
 
     # Requests.
@@ -188,7 +190,9 @@
             rows.append(encode_requested(name, requested, received_count))
         report.wanted = rows
 
-    def _list_requested(self, data_centre: str) -> Iterable[tuple[EndpointId, Wanted]]:
+    def _list_requested(
+        self, data_centre: str
+    ) -> Iterable[tuple[EndpointId, CreditDemand]]:
         leads = self._leaders.leads
         if not leads and self._leaders.find_primary() not in (data_centre, None):
             return
@@ -200,8 +204,8 @@
             if leads:
                 if self._get_lease(known).data_centre != data_centre:
                     continue
-                self._local_holder.wanted[name] = requested
-                requested = self._issuer.sum_open(name)
+                self._local_holder.requested[name] = requested
+                requested = self._issuer.sum_outstanding(name)
             yield name, requested
 
     def apply_report(self, peer: Peer, report: Any) -> None:
@@ -239,7 +243,7 @@
         update.echo_age = now - peer.stamp_received_at
         update.turns = [
             encode_credits(name, [end - now for end in expiry_times])
-            for name, expiry_times in peer.credit_holder.take_untold().items()
+            for name, expiry_times in peer.credit_holder.pop_unreported().items()
         ]
 
     def apply_update(self, received: ReceivedUpdate) -> None:
@@ -281,8 +285,8 @@
             if limit is None:
                 continue
             if self._leaders.leads:
-                self._local_holder.wanted[name] = limit.list_requested(self._clock())
-                self._issuer.hand_on(name, expiry_times)
+                self._local_holder.requested[name] = limit.list_requested(self._clock())
+                self._issuer.hand_over(name, expiry_times)
             else:
                 for end in expiry_times:
                     self._acquire_local(name, end)
--- a/src/kestreltally/knowledge/exchange.py
+++ b/src/kestreltally/knowledge/exchange.py
@@ -202,7 +202,7 @@
             LedDataCentre(
                 name,
                 lease.fence,
-                lease.sighting.revision if lease.sighting else NO_REVISION,
+                lease.observed.revision if lease.observed else NO_REVISION,
             )
             for name, lease in self._leases.items()
             if lease.leads and has_listed
@@ -216,7 +216,7 @@
             load_wait=self.leader.estimate_load_wait() if self.leader else 0.0,
             configuration_version=configuration.version if configuration else 0,
             configuration=self._configuration.encoded,
-            free_capacity=self.leader.room if self.leader else 0,
+            free_capacity=self.leader.free_capacity if self.leader else 0,
             known_at=self._get_known_at(),
             secret=self._poison.get_leader_secret() if leads else b"",
         )
@@ -246,7 +246,7 @@
     def _apply_report(self, report: Any) -> None:
         if self.leader is None or not self.leaders.leads:
             return
-        if self.leader.is_short:
+        if self.leader.is_over_capacity:
             self.leader.wake()
         demand = [decode_demand(each) for each in report.demand or ()]
         self._group.apply_demand(report.vm, report.data_centre, demand)
@@ -318,8 +318,8 @@
         """Return the demand that another leader is asked to serve."""
         if self.leader is None:
             return []
-        if self.leader.find_order_wait() == 0.0:
-            return self.leader.list_handed(data_centre)
+        if self.leader.compute_order_wait() == 0.0:
+            return self.leader.list_handed_over(data_centre)
         available = [
             name for name, each in self.leaders.clients.items() if each.load_wait < 1.0
         ]
@@ -356,12 +356,12 @@
 
     def _apply_update(self, data_centre: str, update: Any) -> None:
         for led in update.leads or ():
-            self._leases[led.data_centre].note_revision(decode_revision(led))
+            self._leases[led.data_centre].record_revision(decode_revision(led))
         for row in update.leaders or ():
             name, leader = decode_leader(row)
             self.leaders.record_reported(name, leader)
         for resigned in update.resigned or ():
-            self._leases[resigned.data_centre].note_resigned(resigned.fence)
+            self._leases[resigned.data_centre].record_resigned(resigned.fence)
         if update.configuration:
             self._configuration.apply_document(json.loads(update.configuration))
         if not update.leads:
@@ -460,7 +460,7 @@
         if known is not None:
             self._fleet.put_endpoint(known)
         if self.leader is not None:
-            self.leader.note_notice(endpoint)
+            self.leader.record_notice(endpoint)
         self._expedite_facts()
         if self.leaders.leads:
             # The endpoint's leader learns of notices from reports, also of leaders.
@@ -483,7 +483,7 @@
     def _report_use_change(self) -> None:
         """Report an adapter's first or last use at once if adapter slots are short."""
         if self.leaders.leads and self.leader is not None:
-            if self.leader.is_short:
+            if self.leader.is_over_capacity:
                 self.leader.wake()
                 self._expedite_leader_reports()
             return
--- a/src/kestreltally/knowledge/group.py
+++ b/src/kestreltally/knowledge/group.py
@@ -83,7 +83,7 @@
                 continue
             lease = self._get_lease(endpoint)
             if lease.leads:
-                leader.soundness.record(each, now)
+                leader.endpoint_health.record(each, now)
             else:
                 self._outcomes[lease.data_centre].add([each])
 
@@ -116,7 +116,7 @@
         known = self._fleet.endpoints.get(endpoint)
         if known is None or leader is None:
             return
-        if endpoint in leader.books:
+        if endpoint in leader.engines:
             leader.record_refused(endpoint, key)
         elif known.data_centre in self._refused:
             self._refused[known.data_centre].add((endpoint, key))
--- a/src/kestreltally/knowledge/peer.py
+++ b/src/kestreltally/knowledge/peer.py
@@ -6,7 +6,7 @@
 from kestreltally.fleet.model import EndpointId, Seconds, WeightsKey
 from kestreltally.knowledge.frames import FrameStream
 from kestreltally.knowledge.updates import EMPTY_SNAPSHOT, Snapshot
-from kestreltally.placing.turns import Borrower
+from kestreltally.placing.credits import CreditHolder
 
 
 @dataclass(slots=True, eq=False)
@@ -38,4 +38,4 @@
     # Position in the list of poison facts up to which they were sent to this peer.
     sent_facts_position: int = 0
     # The credits that it requests, and those issued to it.
-    credit_holder: Borrower = field(default_factory=Borrower)
+    credit_holder: CreditHolder = field(default_factory=CreditHolder)
--- a/src/kestreltally/placing/turns.py
+++ b/src/kestreltally/placing/credits.py
@@ -24,67 +24,67 @@
 from kestreltally.rates import Bucket
 
 # A turn ends so long after it was lent.
-TURN_LIFE: Final[Seconds] = 0.4
+CREDIT_TTL: Final[Seconds] = 0.4
 # In any such time an endpoint gets its limit, and so many calls more at the most.
 WINDOW: Final[Seconds] = 4.0
-WINDOW_MORE: Final = 4.0
+WINDOW_BURST: Final = 4.0
 # Turns that may be lent at once, and what of the limit besides.
-DEPTH_LEAST: Final = 2.0
+MIN_DEPTH: Final = 2.0
 DEPTH_TIME: Final[Seconds] = 0.05
 
 # Who lends without a lease lends a turn once it is there, nearly whole, and keeps one
 # at the most: a few who lend in one moment must not add up.
 UNLEASED_DEPTH: Final = 1.0
-UNLEASED_LEAST: Final = 0.99
+UNLEASED_MIN_LEVEL: Final = 0.99
 
 # How long calls wait is worked out so often: all borrowers are asked for it.
-ESTIMATE_EVERY: Final[Seconds] = 0.05
+ESTIMATE_INTERVAL: Final[Seconds] = 0.05
 # A moment later a turn is surely there.
-LOOK_LEAST: Final[Seconds] = 0.001
+MIN_RECHECK_DELAY: Final[Seconds] = 0.001
 
 # Turns wanted, by urgency: the lower number first.
-Wanted = dict[int, int]
+CreditDemand = dict[int, int]
 
 
 @dataclass(slots=True, eq=False)
-class Borrower:
+class CreditHolder:
     """A daemon that wants turns, or the leader of some; it begins anew as it connects.
 
-    ``received`` is how many turns it had got as it wrote ``wanted``; of those lent
+    ``received`` is how many turns it had got as it wrote ``requested``; of those lent
     since it does not know yet.
     """
 
-    wanted: dict[EndpointId, Wanted] = field(default_factory=dict)
+    requested: dict[EndpointId, CreditDemand] = field(default_factory=dict)
     received: dict[EndpointId, int] = field(default_factory=dict)
-    lent: Counter[EndpointId] = field(default_factory=Counter)
-    last_turn: dict[EndpointId, int] = field(default_factory=dict)
+    issued: Counter[EndpointId] = field(default_factory=Counter)
+    last_credit: dict[EndpointId, int] = field(default_factory=dict)
     # The ends of turns lent and not told yet.
-    untold: dict[EndpointId, list[Seconds]] = field(default_factory=dict)
+    unreported: dict[EndpointId, list[Seconds]] = field(default_factory=dict)
 
-    def list_open(self, endpoint: EndpointId) -> Wanted:
+    def list_outstanding(self, endpoint: EndpointId) -> CreditDemand:
         """Return what is still wanted at an endpoint, beside what is on its way."""
-        wanted = self.wanted.get(endpoint)
-        if not wanted:
+        requested = self.requested.get(endpoint)
+        if not requested:
             return {}
-        coming = self.lent[endpoint] - self.received.get(endpoint, 0)
-        still = {}
-        for urgency, count in sorted(wanted.items()):
-            met = min(count, max(0, coming))
-            coming -= met
-            if count > met:
-                still[urgency] = count - met
-        return still
+        in_transit = self.issued[endpoint] - self.received.get(endpoint, 0)
+        outstanding = {}
+        for urgency, count in sorted(requested.items()):
+            covered = min(count, max(0, in_transit))
+            in_transit -= covered
+            if count > covered:
+                outstanding[urgency] = count - covered
+        return outstanding
 
     def issue(self, endpoint: EndpointId, number: int, ends: Seconds) -> None:
         """Note a turn that is lent; it is told with the next update."""
-        self.lent[endpoint] += 1
-        self.last_turn[endpoint] = number
-        self.untold.setdefault(endpoint, []).append(ends)
+        self.issued[endpoint] += 1
+        self.last_credit[endpoint] = number
+        self.unreported.setdefault(endpoint, []).append(ends)
 
-    def take_untold(self) -> dict[EndpointId, list[Seconds]]:
+    def pop_unreported(self) -> dict[EndpointId, list[Seconds]]:
         """Return the turns to be told, once."""
-        taken, self.untold = self.untold, {}
-        return taken
+        unreported, self.unreported = self.unreported, {}
+        return unreported
 
 
 @dataclass(slots=True)
@@ -100,65 +100,67 @@
 class Terms:
     """How turns are lent at a limit.
 
-    ``rate`` is turns a second, ``depth`` how many may be lent at once, and ``least``
+    ``rate`` is turns a second, ``depth`` how many may be lent at once, and ``min_level``
     what must be there before one is lent.
     """
 
     rate: float
     depth: float
-    least: float
+    min_level: float
 
 
-def find_leased_terms(rate: float) -> Terms:
+def compute_leased_terms(rate: float) -> Terms:
     """Return the terms of who holds the lease, at a limit."""
-    return Terms(rate=find_lent_rate(rate), depth=find_depth(rate), least=0.0)
+    return Terms(
+        rate=compute_issue_rate(rate), depth=compute_depth(rate), min_level=0.0
+    )
 
 
-def find_unleased_terms(rate: float, heard: int, daemons: int) -> Terms:
+def compute_unleased_terms(rate: float, reachable: int, daemons: int) -> Terms:
     """Return the terms of who hears some of all daemons, and holds no lease."""
-    share = heard / max(1, heard, daemons)
+    share = reachable / max(1, reachable, daemons)
     return Terms(
         rate=ISOLATED_FRACTION * rate * share,
         depth=UNLEASED_DEPTH,
-        least=UNLEASED_LEAST,
+        min_level=UNLEASED_MIN_LEVEL,
     )
 
 
-def find_depth(rate: float) -> float:
+def compute_depth(rate: float) -> float:
     """Return how many turns at a limit may be lent at once.
 
     More at a low limit, whose calls come unevenly, and as its window leaves room.
     """
-    return max(DEPTH_LEAST, WINDOW_MORE - TURN_LIFE * rate) + DEPTH_TIME * rate
+    return max(MIN_DEPTH, WINDOW_BURST - CREDIT_TTL * rate) + DEPTH_TIME * rate
 
 
-def find_lent_rate(rate: float) -> float:
+def compute_issue_rate(rate: float) -> float:
     """Return how many turns a second are lent at a limit.
 
     Not all of a high limit, for turns lent over a window, and in the time before it in
     which they last, may all be used within that window.
     """
-    most = WINDOW * rate + WINDOW_MORE - find_depth(rate)
-    return min(rate, most / (WINDOW + TURN_LIFE))
+    max_issued = WINDOW * rate + WINDOW_BURST - compute_depth(rate)
+    return min(rate, max_issued / (WINDOW + CREDIT_TTL))
 
 
-class TurnLender:
+class CreditIssuer:
     """Lends turns at some endpoints, and hands on those lent by other leaders.
 
-    ``list_borrowers`` returns the daemons to lend to at an endpoint; ``own`` is this
-    one, whose turns are given to ``take_own``.
+    ``list_credit_holders`` returns the daemons to lend to at an endpoint; ``local_holder`` is this
+    one, whose turns are given to ``use_local``.
     """
 
     def __init__(
         self,
-        own: Borrower,
-        list_borrowers: Callable[[EndpointId], Iterable[Borrower]],
-        take_own: Callable[[EndpointId, Seconds], None],
+        local_holder: CreditHolder,
+        list_credit_holders: Callable[[EndpointId], Iterable[CreditHolder]],
+        use_local: Callable[[EndpointId, Seconds], None],
         clock: Callable[[], Seconds],
     ) -> None:
-        self._own = own
-        self._list_borrowers = list_borrowers
-        self._take_own = take_own
+        self._local_holder = local_holder
+        self._list_credit_holders = list_credit_holders
+        self._use_local = use_local
         self._clock = clock
         self._pools: dict[EndpointId, _Pool] = {}
         self._number = 0
@@ -168,80 +170,86 @@
     ) -> Seconds | None:
         """Lend what may be lent now; return when to look again, none if not."""
         now = self._clock()
-        pool = self._find_pool(endpoint, born, now)
+        pool = self._get_pool(endpoint, born, now)
         level = pool.bucket.refill(terms.rate, terms.depth, now)
-        if level <= terms.least:
+        if level <= terms.min_level:
             # Who is next is looked for once there is something to lend.
-            if now - pool.estimated_at >= ESTIMATE_EVERY:
-                self._tell_wait(endpoint, pool, limit, terms)
-            return LOOK_LEAST + (terms.least - level) / terms.rate
-        lacking = self._lend_from(endpoint, pool.bucket, terms, now)
-        self._tell_wait(endpoint, pool, limit, terms)
-        return None if lacking is None else LOOK_LEAST + lacking / terms.rate
-
-    def _find_pool(self, endpoint: EndpointId, born: int, now: Seconds) -> _Pool:
+            if now - pool.estimated_at >= ESTIMATE_INTERVAL:
+                self._update_wait(endpoint, pool, limit, terms)
+            return MIN_RECHECK_DELAY + (terms.min_level - level) / terms.rate
+        lacking = self._issue_from(endpoint, pool.bucket, terms, now)
+        self._update_wait(endpoint, pool, limit, terms)
+        return None if lacking is None else MIN_RECHECK_DELAY + lacking / terms.rate
+
+    def _get_pool(self, endpoint: EndpointId, born: int, now: Seconds) -> _Pool:
         pool = self._pools.get(endpoint)
         if pool is None or pool.born != born:
             # Begins empty: another leader may just have lent what there was.
             pool = self._pools[endpoint] = _Pool(born, Bucket(now, 0.0))
         return pool
 
-    def _lend_from(
+    def _issue_from(
         self, endpoint: EndpointId, bucket: Bucket, terms: Terms, now: Seconds
     ) -> float | None:
         """Lend what a bucket holds; return what it lacks for the next turn, if any."""
-        while (found := self._find_next(endpoint)) is not None:
-            urgency, borrower = found
+        while (next_up := self._choose_next(endpoint)) is not None:
+            urgency, holder = next_up
             # Who does not wait for a turn leaves the others for who will.
-            ahead = urgency >= PREFETCH_URGENCY
-            kept = max(terms.least, terms.depth - 1) if ahead else terms.least
-            if bucket.level <= kept:
-                return kept - bucket.level
+            prefetch = urgency >= PREFETCH_URGENCY
+            reserve = (
+                max(terms.min_level, terms.depth - 1) if prefetch else terms.min_level
+            )
+            if bucket.level <= reserve:
+                return reserve - bucket.level
             bucket.level -= 1
-            self._hand(endpoint, borrower, now + TURN_LIFE)
+            self._assign(endpoint, holder, now + CREDIT_TTL)
         return None
 
-    def _tell_wait(
+    def _update_wait(
         self, endpoint: EndpointId, pool: _Pool, limit: RateLimitState, terms: Terms
     ) -> None:
         """Work out how long one more call waits for its turn, behind those that do."""
         pool.estimated_at = self._clock()
-        still = self.sum_open(endpoint)
-        waiting = sum(n for urgency, n in still.items() if urgency < PREFETCH_URGENCY)
+        outstanding = self.sum_outstanding(endpoint)
+        waiting = sum(
+            n for urgency, n in outstanding.items() if urgency < PREFETCH_URGENCY
+        )
         limit.wait = (1 + waiting) / terms.rate if waiting else 0.0
 
-    def hand_on(self, endpoint: EndpointId, ends: list[Seconds]) -> None:
+    def hand_over(self, endpoint: EndpointId, ends: list[Seconds]) -> None:
         """Hand on turns that another leader has lent; what nobody wants stays here."""
         for each in ends:
-            found = self._find_next(endpoint)
-            self._hand(endpoint, found[1] if found else self._own, each)
+            next_up = self._choose_next(endpoint)
+            self._assign(endpoint, next_up[1] if next_up else self._local_holder, each)
 
-    def forget(self, endpoints: Iterable[EndpointId]) -> None:
+    def retain_pools(self, endpoints: Iterable[EndpointId]) -> None:
         """Drop all pools but those of some endpoints."""
-        kept = set(endpoints)
-        self._pools = {k: pool for k, pool in self._pools.items() if k in kept}
+        listed = set(endpoints)
+        self._pools = {k: pool for k, pool in self._pools.items() if k in listed}
 
-    def _find_next(self, endpoint: EndpointId) -> tuple[int, Borrower] | None:
+    def _choose_next(self, endpoint: EndpointId) -> tuple[int, CreditHolder] | None:
         """Return who is next: the most urgent, then who had its last turn first."""
         waiting = (
-            (min(still), borrower.last_turn.get(endpoint, 0), number, borrower)
-            for number, borrower in enumerate(self._list_borrowers(endpoint))
-            if (still := borrower.list_open(endpoint))
+            (min(outstanding), holder.last_credit.get(endpoint, 0), number, holder)
+            for number, holder in enumerate(self._list_credit_holders(endpoint))
+            if (outstanding := holder.list_outstanding(endpoint))
         )
         first = min(waiting, key=lambda each: each[:3], default=None)
         return None if first is None else (first[0], first[3])
 
-    def _hand(self, endpoint: EndpointId, borrower: Borrower, ends: Seconds) -> None:
+    def _assign(
+        self, endpoint: EndpointId, holder: CreditHolder, ends: Seconds
+    ) -> None:
         self._number += 1
-        if borrower is self._own:
-            self._own.last_turn[endpoint] = self._number
-            self._take_own(endpoint, ends)
+        if holder is self._local_holder:
+            self._local_holder.last_credit[endpoint] = self._number
+            self._use_local(endpoint, ends)
         else:
-            borrower.issue(endpoint, self._number, ends)
+            holder.issue(endpoint, self._number, ends)
 
-    def sum_open(self, endpoint: EndpointId) -> Wanted:
+    def sum_outstanding(self, endpoint: EndpointId) -> CreditDemand:
         """Return what all borrowers still want at an endpoint."""
         total: Counter[int] = Counter()
-        for borrower in self._list_borrowers(endpoint):
-            total.update(borrower.list_open(endpoint))
+        for holder in self._list_credit_holders(endpoint):
+            total.update(holder.list_outstanding(endpoint))
         return dict(total)
--- a/src/kestreltally/placing/demand.py
+++ b/src/kestreltally/placing/demand.py
@@ -9,24 +9,24 @@
 from kestreltally.fleet.model import Seconds, ServiceName, WeightsKey
 
 # Demand may move to other adapters within a few seconds.
-RATE_TIME: Final[Seconds] = 5.0
+RATE_DECAY_TIME: Final[Seconds] = 5.0
 # Requests that were refused come back within about a second.
-MISS_TIME: Final[Seconds] = 1.2
+MISS_DECAY_TIME: Final[Seconds] = 1.2
 # A daemon's count of waiting requests is believed this long.
-WAITING_LIFE: Final[Seconds] = 0.8
-FORGET_BELOW: Final = 0.01
+WAITING_TTL: Final[Seconds] = 0.8
+PRUNE_THRESHOLD: Final = 0.01
 # Rates fade this often: within it they lose 2 in 100, and a leader plans several times.
-DECAY_EVERY: Final[Seconds] = 0.1
+DECAY_INTERVAL: Final[Seconds] = 0.1
 
-Asked = tuple[ServiceName, WeightsKey]
+DemandKey = tuple[ServiceName, WeightsKey]
 
 
 @dataclass(frozen=True, slots=True)
-class Waiting:
+class WaitingReport:
     """What one daemon told of its requests that wait, and when."""
 
     data_centre: str
-    told: WeightsDemand
+    reported: WeightsDemand
     at: Seconds
 
 
@@ -35,11 +35,11 @@
     """The requests that wait for some weights, over all daemons."""
 
     count: int
-    timely: int
+    within_objective: int
     prompt_tokens: int
 
 
-NOBODY_WAITS: Final = WaitingTotal(0, 0, 0)
+NO_WAITING: Final = WaitingTotal(0, 0, 0)
 
 
 @dataclass(slots=True)
@@ -55,47 +55,49 @@
     rates: dict[str, float] = field(default_factory=lambda: defaultdict(float))
     rate: float = 0.0
     missed: float = 0.0
-    waiting: dict[str, Waiting] = field(default_factory=dict)
+    waiting: dict[str, WaitingReport] = field(default_factory=dict)
     waiting_since: Seconds = 0.0
 
     def decay(self, now: Seconds) -> None:
         """Let the rates fade to a moment."""
-        passed = max(0.0, now - self.at)
-        if passed <= 0:
+        elapsed = max(0.0, now - self.at)
+        if elapsed <= 0:
             return
-        kept = math.exp(-passed / RATE_TIME)
+        factor = math.exp(-elapsed / RATE_DECAY_TIME)
         for data_centre in self.rates:
-            self.rates[data_centre] *= kept
-        self.rate *= kept
-        self.missed *= math.exp(-passed / MISS_TIME)
+            self.rates[data_centre] *= factor
+        self.rate *= factor
+        self.missed *= math.exp(-elapsed / MISS_DECAY_TIME)
         self.at = now
 
     def add(self, data_centre: str, arrivals: int) -> None:
         """Count requests that came in a data centre."""
-        self.rates[data_centre] += arrivals / RATE_TIME
-        self.rate += arrivals / RATE_TIME
+        self.rates[data_centre] += arrivals / RATE_DECAY_TIME
+        self.rate += arrivals / RATE_DECAY_TIME
 
     def count_waiting(self, now: Seconds) -> int:
         """Return how many requests wait now."""
         if not self.waiting:
             return 0
-        return sum(each.waiting for each in self._list_believed(now))
+        return sum(each.waiting for each in self._list_current(now))
 
-    def _list_believed(self, now: Seconds) -> list[WeightsDemand]:
+    def _list_current(self, now: Seconds) -> list[WeightsDemand]:
         """Return what daemons told so lately that it still holds."""
         return [
-            each.told for each in self.waiting.values() if now - each.at < WAITING_LIFE
+            each.reported
+            for each in self.waiting.values()
+            if now - each.at < WAITING_TTL
         ]
 
     def sum_waiting(self, now: Seconds) -> WaitingTotal:
         """Return what waits now."""
         if not self.waiting:
-            return NOBODY_WAITS
-        told = self._list_believed(now)
+            return NO_WAITING
+        reported = self._list_current(now)
         return WaitingTotal(
-            count=sum(each.waiting for each in told),
-            timely=sum(each.timely for each in told),
-            prompt_tokens=sum(each.prompt_tokens for each in told),
+            count=sum(each.waiting for each in reported),
+            within_objective=sum(each.timely for each in reported),
+            prompt_tokens=sum(each.prompt_tokens for each in reported),
         )
 
 
@@ -106,48 +108,48 @@
     """
 
     def __init__(self) -> None:
-        self.rows: dict[Asked, WeightsRow] = {}
-        self.waiting: dict[Asked, WeightsRow] = {}
+        self.rows: dict[DemandKey, WeightsRow] = {}
+        self.waiting: dict[DemandKey, WeightsRow] = {}
         self._decayed_at: Seconds = float("-inf")
 
-    def take(
-        self, vm: str, data_centre: str, told: WeightsDemand, now: Seconds
+    def apply(
+        self, vm: str, data_centre: str, reported: WeightsDemand, now: Seconds
     ) -> None:
         """Take in what a daemon tells."""
-        asked = (told.service, told.key)
-        row = self.rows.get(asked)
+        demand_key = (reported.service, reported.key)
+        row = self.rows.get(demand_key)
         if row is None:
-            row = self.rows[asked] = WeightsRow(at=now)
+            row = self.rows[demand_key] = WeightsRow(at=now)
         row.decay(now)
-        row.add(data_centre, told.arrivals)
-        row.missed += told.missed
-        if told.waiting:
+        row.add(data_centre, reported.arrivals)
+        row.missed += reported.missed
+        if reported.waiting:
             if not row.count_waiting(now):
                 row.waiting_since = now
-            row.waiting[vm] = Waiting(data_centre, told, now)
-            self.waiting[asked] = row
+            row.waiting[vm] = WaitingReport(data_centre, reported, now)
+            self.waiting[demand_key] = row
         elif row.waiting.pop(vm, None) is not None and not row.waiting:
-            self.waiting.pop(asked, None)
+            self.waiting.pop(demand_key, None)
 
-    def list_notable(self, least_rate: float) -> list[tuple[Asked, WeightsRow]]:
+    def list_significant(self, min_rate: float) -> list[tuple[DemandKey, WeightsRow]]:
         """Return the rows that may wait, or are asked for more often than so."""
         return [
-            (asked, row)
-            for asked, row in self.rows.items()
-            if row.waiting or row.rate > least_rate
+            (demand_key, row)
+            for demand_key, row in self.rows.items()
+            if row.waiting or row.rate > min_rate
         ]
 
     def decay(self, now: Seconds) -> None:
         """Let all rates fade, and forget what nobody asks for; often enough."""
-        if now - self._decayed_at < DECAY_EVERY:
+        if now - self._decayed_at < DECAY_INTERVAL:
             return
         self._decayed_at = now
-        for asked, row in list(self.rows.items()):
+        for demand_key, row in list(self.rows.items()):
             row.decay(now)
-            waits = row.count_waiting(now)
-            if row.waiting and not waits:
+            waiting = row.count_waiting(now)
+            if row.waiting and not waiting:
                 row.waiting.clear()
-                self.waiting.pop(asked, None)
-            faded = row.rate < FORGET_BELOW and row.missed < FORGET_BELOW
-            if faded and not waits:
-                del self.rows[asked]
+                self.waiting.pop(demand_key, None)
+            negligible = row.rate < PRUNE_THRESHOLD and row.missed < PRUNE_THRESHOLD
+            if negligible and not waiting:
+                del self.rows[demand_key]
--- a/src/kestreltally/placing/books.py
+++ b/src/kestreltally/placing/enginestate.py
@@ -15,12 +15,12 @@
 
 # An unload waits for the runs that use the adapter; those last some seconds.
 # An engine that has not answered so often in a row is held to be down.
-SILENCES_TO_CLOSE: Final = 2
-UNLOAD_LIMIT: Final[Seconds] = 8.0
+MAX_UNANSWERED_CALLS: Final = 2
+UNLOAD_TIMEOUT: Final[Seconds] = 8.0
 
 
 @dataclass(frozen=True, slots=True)
-class Incoming:
+class PendingLoad:
     """A load that an engine has taken: the engine's count of orders just after."""
 
     sequence: int
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Outgoing:
+class PendingUnload:
     """An unload that was ordered: the engine's count of orders if it was taken."""
 
     sequence: int
@@ -36,7 +36,7 @@
 
 
 @dataclass(slots=True)
-class EngineBook:
+class EngineState:
     """What the leader knows of one engine by its orders and its reports.
 
     ``sequence`` is the engine's count of orders as far as known; none means that a
@@ -47,13 +47,13 @@
     endpoint: Endpoint
     weights: dict[WeightsKey, int] = field(default_factory=dict)
     held_since: dict[WeightsKey, Seconds] = field(default_factory=dict)
-    incoming: dict[WeightsKey, Incoming] = field(default_factory=dict)
-    leaving: dict[WeightsKey, Outgoing] = field(default_factory=dict)
+    incoming: dict[WeightsKey, PendingLoad] = field(default_factory=dict)
+    unloading: dict[WeightsKey, PendingUnload] = field(default_factory=dict)
     sequence: int | None = None
     busy: bool = False
     failing_until: Seconds = 0.0
-    silences: int = 0
-    spared: bool = False
+    unanswered_calls: int = 0
+    quarantined: bool = False
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     read_at: Seconds = 0.0
     ordered_at: Seconds = 0.0
@@ -67,15 +67,15 @@
         if is_other_incarnation(self.endpoint.born, report.born):
             if report.born < self.endpoint.born:
                 return
-            self.begin_life(report.born)
-        self.silences = 0
+            self.start_incarnation(report.born)
+        self.unanswered_calls = 0
         if self.sequence is not None and report.sequence < self.sequence:
             self._confirm_loads(report, now)
             return
         self.sequence = report.sequence
         self.weights = dict(report.weights)
         loading = {
-            key: self.incoming.get(key, Incoming(report.sequence, now))
+            key: self.incoming.get(key, PendingLoad(report.sequence, now))
             for key in report.loading
         }
         # Reports name the adapters on their way, but not a model.
@@ -83,61 +83,61 @@
             if not key.adapter and key not in report.weights:
                 loading[key] = load
         self.incoming = loading
-        self._check_leaving(report, now)
+        self._prune_unloading(report, now)
         self.held_since = {k: self.held_since.get(k, now) for k in report.weights}
 
-    def begin_life(self, born: int) -> None:
+    def start_incarnation(self, born: int) -> None:
         """Start anew with an engine that has, under the same id."""
         self.endpoint = replace(self.endpoint, born=born, weights={})
         self.weights = {}
         self.held_since = {}
         self.incoming = {}
-        self.leaving = {}
+        self.unloading = {}
         self.sequence = None
 
-    def _check_leaving(self, report: EngineReport, now: Seconds) -> None:
+    def _prune_unloading(self, report: EngineReport, now: Seconds) -> None:
         """Use again what was to be unloaded, if the engine did not take the order."""
-        self.leaving = {
-            key: out
-            for key, out in self.leaving.items()
+        self.unloading = {
+            key: unload
+            for key, unload in self.unloading.items()
             if key in report.weights
-            and report.sequence >= out.sequence
-            and now - out.ordered_at < UNLOAD_LIMIT
+            and report.sequence >= unload.sequence
+            and now - unload.ordered_at < UNLOAD_TIMEOUT
         }
 
-    def begin_unload(self, key: WeightsKey, now: Seconds) -> None:
+    def start_unload(self, key: WeightsKey, now: Seconds) -> None:
         """Note that an adapter is to make way: it gets no more requests."""
-        self.leaving[key] = Outgoing((self.sequence or 0) + 1, now)
+        self.unloading[key] = PendingUnload((self.sequence or 0) + 1, now)
 
     def _confirm_loads(self, report: EngineReport, now: Seconds) -> None:
         for key, load in list(self.incoming.items()):
             held = report.weights.get(key)
             if held is not None and report.sequence >= load.sequence:
-                self.note_held(key, held, now)
+                self.record_loaded(key, held, now)
 
-    def note_held(self, key: WeightsKey, version: int, now: Seconds) -> None:
+    def record_loaded(self, key: WeightsKey, version: int, now: Seconds) -> None:
         """Note that a load has ended well."""
         self.incoming.pop(key, None)
         self.weights[key] = version
         self.held_since[key] = now
 
-    def note_unloaded(self, key: WeightsKey) -> None:
+    def record_unloaded(self, key: WeightsKey) -> None:
         """Note that an engine has confirmed an unload."""
         self.weights.pop(key, None)
         self.held_since.pop(key, None)
-        self.leaving.pop(key, None)
+        self.unloading.pop(key, None)
 
-    def count_taken(self) -> int:
+    def count_occupied(self) -> int:
         """Return how many adapter places are or may be taken."""
         held = {key for key in self.weights if key.adapter}
         coming = {key for key in self.incoming if key.adapter}
-        return len(held | coming | self.leaving.keys())
+        return len(held | coming | self.unloading.keys())
 
     def count_free(self, spec: EngineSpec) -> int:
         """Return how many adapter places are surely free."""
-        return max(0, spec.adapter_places - self.count_taken())
+        return max(0, spec.adapter_places - self.count_occupied())
 
-    def doubt(self, now: Seconds) -> None:
+    def require_report(self, now: Seconds) -> None:
         """Give no more orders until a report written from now on has been read."""
         self.sequence = None
         self.read_at = now
@@ -156,16 +156,16 @@
 
         What a silent engine holds is to be loaded elsewhere, so it shows nothing.
         """
-        if self.silences >= SILENCES_TO_CLOSE:
+        if self.unanswered_calls >= MAX_UNANSWERED_CALLS:
             return replace(
-                self.endpoint, weights={}, loading=frozenset(), spared=self.spared
+                self.endpoint, weights={}, loading=frozenset(), spared=self.quarantined
             )
         # What is replaced refuses requests until the new version is there.
-        closed = self.leaving.keys() | self.incoming.keys()
-        usable = {k: v for k, v in self.weights.items() if k not in closed}
+        unavailable = self.unloading.keys() | self.incoming.keys()
+        usable = {k: v for k, v in self.weights.items() if k not in unavailable}
         return replace(
             self.endpoint,
             weights=usable,
             loading=frozenset(self.incoming),
-            spared=self.spared,
+            spared=self.quarantined,
         )
--- a/src/kestreltally/placing/handover.py
+++ b/src/kestreltally/placing/handover.py
@@ -11,17 +11,17 @@
 
 from kestreltally.fleet.model import Seconds
 from kestreltally.fleet.tables import Fleet
-from kestreltally.placing.demand import Asked, DemandTable, WeightsRow
+from kestreltally.placing.demand import DemandKey, DemandTable, WeightsRow
 
 # How long another leader may take to bring what its engines have had lately.
-HAND_FOR: Final[Seconds] = 0.2
+HANDOVER_TIMEOUT: Final[Seconds] = 0.2
 # How long a leader with room is given: the word and the row cross in some 0.1 s, and
 # a load lasts a quarter of a second.
-PASS_FOR: Final[Seconds] = 0.6
+FORWARD_TIMEOUT: Final[Seconds] = 0.6
 
 
 @dataclass(frozen=True, slots=True)
-class Passed:
+class Forwarded:
     """Weights that another leader is asked for until a moment."""
 
     to: str
@@ -38,78 +38,92 @@
     def __init__(self, fleet: Fleet, demand: DemandTable) -> None:
         self._fleet = fleet
         self._demand = demand
-        self._homes: dict[Asked, str] = {}
-        self._passed: dict[Asked, Passed] = {}
+        self._copy_sources: dict[DemandKey, str] = {}
+        self._forwarded: dict[DemandKey, Forwarded] = {}
         self.can_hand_over: Callable[[str], bool] = lambda _: False
         self.get_free_capacity: Callable[[], Mapping[str, int]] = dict
         self.expedite: Callable[[str], None] = lambda _: None
 
-    def is_handed(self, asked: Asked) -> bool:
+    def is_handed_over(self, demand_key: DemandKey) -> bool:
         """Tell whether another leader is asked for some weights."""
-        return asked in self._homes or asked in self._passed
+        return demand_key in self._copy_sources or demand_key in self._forwarded
 
-    def list_for(self, data_centre: str) -> list[Asked]:
+    def list_assigned(self, data_centre: str) -> list[DemandKey]:
         """Return what the leader of a data centre is asked for."""
-        homes = [asked for asked, home in self._homes.items() if home == data_centre]
-        passed = [a for a, each in self._passed.items() if each.to == data_centre]
-        return [*homes, *passed]
-
-    def renew(self, led: set[str], now: Seconds) -> None:
+        from_copies = [
+            demand_key
+            for demand_key, source in self._copy_sources.items()
+            if source == data_centre
+        ]
+        forwarded = [a for a, each in self._forwarded.items() if each.to == data_centre]
+        return [*from_copies, *forwarded]
+
+    def renew(self, led_data_centres: set[str], now: Seconds) -> None:
         """Ask again for what is still missing, of who had it last."""
-        before, self._homes = self._homes, {}
-        for asked, row in self._demand.waiting.items():
-            if not row.count_waiting(now) or now - row.waiting_since > HAND_FOR:
+        previous, self._copy_sources = self._copy_sources, {}
+        for demand_key, row in self._demand.waiting.items():
+            if not row.count_waiting(now) or now - row.waiting_since > HANDOVER_TIMEOUT:
                 continue
-            if self._fleet.is_held(*asked, now):
+            if self._fleet.is_held(*demand_key, now):
                 continue
-            where = self._find_home(asked, led, before.get(asked))
-            if where is None:
+            source = self._choose_copy_source(
+                demand_key, led_data_centres, previous.get(demand_key)
+            )
+            if source is None:
                 continue
-            self._homes[asked] = where
-            if before.get(asked) != where:
-                self.expedite(where)
-        for asked, passed in list(self._passed.items()):
-            if passed.until <= now or self._fleet.is_held(*asked, now):
-                del self._passed[asked]
-
-    def _find_home(self, asked: Asked, led: set[str], before: str | None) -> str | None:
+            self._copy_sources[demand_key] = source
+            if previous.get(demand_key) != source:
+                self.expedite(source)
+        for demand_key, forwarded in list(self._forwarded.items()):
+            if forwarded.until <= now or self._fleet.is_held(*demand_key, now):
+                del self._forwarded[demand_key]
+
+    def _choose_copy_source(
+        self, demand_key: DemandKey, led_data_centres: set[str], previous: str | None
+    ) -> str | None:
         """Return whose engines keep a copy of some weights, unless own ones do.
 
         Of several that can bring it the one asked before goes on, else that with room.
         """
-        places = {each.data_centre for each in self._fleet.list_copies(*asked)}
-        if places & led:
+        holders = {each.data_centre for each in self._fleet.list_copies(*demand_key)}
+        if holders & led_data_centres:
             return None
-        able = [name for name in places if self.can_hand_over(name)]
-        if before in able:
-            return before
-        if len(able) < 2:
-            return able[0] if able else None
-        rooms = self.get_free_capacity()
-        return max(able, key=lambda name: (rooms.get(name, 0), name))
-
-    def pass_on(self, crowded_out: Iterable[Asked], led: set[str], now: Seconds) -> int:
+        capable = [name for name in holders if self.can_hand_over(name)]
+        if previous in capable:
+            return previous
+        if len(capable) < 2:
+            return capable[0] if capable else None
+        free_capacity = self.get_free_capacity()
+        return max(capable, key=lambda name: (free_capacity.get(name, 0), name))
+
+    def forward(
+        self, unplaced: Iterable[DemandKey], led_data_centres: set[str], now: Seconds
+    ) -> int:
         """Ask leaders with room for what has no place here; return for how many."""
-        rooms = dict(self.get_free_capacity())
-        for passed in self._passed.values():
-            if passed.to in rooms:
-                rooms[passed.to] -= 1
+        free_capacity = dict(self.get_free_capacity())
+        for forwarded in self._forwarded.values():
+            if forwarded.to in free_capacity:
+                free_capacity[forwarded.to] -= 1
         count = 0
-        for asked in crowded_out:
-            roomiest = max(rooms, key=lambda name: rooms[name], default=None)
-            if roomiest is None or rooms[roomiest] <= 0:
+        for demand_key in unplaced:
+            target = max(
+                free_capacity, key=lambda name: free_capacity[name], default=None
+            )
+            if target is None or free_capacity[target] <= 0:
                 break
-            if not _waits_here(self._demand.rows.get(asked), led):
+            if not _has_local_waiters(
+                self._demand.rows.get(demand_key), led_data_centres
+            ):
                 continue
-            rooms[roomiest] -= 1
-            self._passed[asked] = Passed(roomiest, now + PASS_FOR)
-            self.expedite(roomiest)
+            free_capacity[target] -= 1
+            self._forwarded[demand_key] = Forwarded(target, now + FORWARD_TIMEOUT)
+            self.expedite(target)
             count += 1
         return count
 
 
-def _waits_here(row: WeightsRow | None, led: set[str]) -> bool:
+def _has_local_waiters(row: WeightsRow | None, led_data_centres: set[str]) -> bool:
     """Tell whether own daemons wait: what was passed on to here is not passed on."""
     return row is not None and any(
-        each.data_centre in led for each in row.waiting.values()
+        each.data_centre in led_data_centres for each in row.waiting.values()
     )
--- a/src/kestreltally/placing/leader.py
+++ b/src/kestreltally/placing/leader.py
@@ -21,21 +21,24 @@
     is_other_incarnation,
 )
 from kestreltally.fleet.tables import Fleet
-from kestreltally.placing.books import EngineBook
-from kestreltally.placing.ceiling import LoadCeiling, compute_fraction
 from kestreltally.placing.demand import DemandTable
+from kestreltally.placing.endpointhealth import (
+    MAX_QUARANTINED_FRACTION,
+    EndpointHealthTable,
+)
+from kestreltally.placing.enginestate import EngineState
 from kestreltally.placing.handover import Handover
 from kestreltally.placing.lease import Lease
+from kestreltally.placing.loadlimiter import LoadLimiter, compute_fraction
 from kestreltally.placing.loads import Loader, LoadOrigin
-from kestreltally.placing.orders import REPORT_LAG, EngineCaller
+from kestreltally.placing.orders import REPORT_LAG, EngineClient
 from kestreltally.placing.planner import (
     PLANNERS,
     EngineView,
-    Wanted,
-    count_room,
+    RequestedAdapter,
+    count_free_capacity,
     score_missing,
 )
-from kestreltally.placing.soundness import SPARED_PART, SoundnessTable
 from kestreltally.placing.views import PlanningRound
 
 LOG = logging.getLogger("kestreltally.leader")
@@ -44,17 +47,17 @@
 # Without a lease there is nothing to plan until one begins, which is told.
 IDLE_TICK: Final[Seconds] = 1.0
 # New demand is looked at at once, but not more often than this.
-TICK_LEAST: Final[Seconds] = 0.01
+MIN_TICK: Final[Seconds] = 0.01
 # Of the four adapters that may be on their way to one engine at once, one place is kept
 # for what the engine has a copy of and brings in some 25 ms.
-INCOMING_MOST: Final = 4
-INCOMING_COLD: Final = 3
+MAX_INCOMING: Final = 4
+MAX_INCOMING_COLD: Final = 3
 REPORT_INTERVAL: Final[Seconds] = 0.1
 # A listing of an engine's weights that differs from its book is checked when the last
 # order is older than this: two heartbeats.
-LISTING_AGE: Final[Seconds] = 3.0
+LISTING_CHECK_DELAY: Final[Seconds] = 3.0
 # The wait that is told while no lease that is held here allows orders.
-WAIT_UNKNOWN: Final[Seconds] = 2.0
+UNKNOWN_LOAD_WAIT: Final[Seconds] = 2.0
 # What it takes to have a leader of another data centre load an adapter instead.
 FORWARD_TIME: Final[Seconds] = 0.1
 
@@ -67,7 +70,7 @@
         fleet: Fleet,
         leases: Mapping[str, Lease],
         get_lease: Callable[[Endpoint], Lease],
-        caller: EngineCaller,
+        client: EngineClient,
         bounds: Bounds,
         clock: Callable[[], Seconds],
         publish: Callable[[Endpoint], None],
@@ -77,31 +80,31 @@
         self._get_lease = get_lease
         self._loader = Loader(
             fleet,
-            caller,
+            client,
             clock,
             publish,
-            lambda book: self.books.get(book.endpoint.id) is book,
+            lambda state: self.engines.get(state.endpoint.id) is state,
         )
         self._bounds = bounds
         self._clock = clock
         self._publish = publish
         self._plan = PLANNERS["most-missed-first"]
-        self.books: dict[EndpointId, EngineBook] = {}
+        self.engines: dict[EndpointId, EngineState] = {}
         self.demand = DemandTable()
         self.occupancy = EMPTY
         # What other leaders tell that a load takes there; none when none is heard.
-        self.other_wait: Callable[[], Seconds | None] = lambda: None
-        self._ceilings: dict[ServiceName, LoadCeiling] = {}
+        self.get_remote_wait: Callable[[], Seconds | None] = lambda: None
+        self._load_limiters: dict[ServiceName, LoadLimiter] = {}
         self.handover = Handover(fleet, self.demand)
-        self._led: set[str] = set()
+        self._led_data_centres: set[str] = set()
         self._wake = asyncio.Event()
         self.missing = 0
         # How many adapters the engines led here could take, and beyond what is missing.
-        self.room = 0
-        self.places = 0
+        self.free_capacity = 0
+        self.available_places = 0
         # Which adapters on which engines any daemon uses now.
         self.list_uses: Callable[[], set[tuple[EndpointId, WeightsKey]]] = set
-        self.soundness = SoundnessTable()
+        self.endpoint_health = EndpointHealthTable()
         self.prefill_times = PrefillTimeTable()
 
     @property
@@ -116,89 +119,101 @@
     def put_endpoint(self, endpoint: Endpoint) -> None:
         """Take in an endpoint's entry of the store."""
         endpoint = self._fleet.notices.apply_to(endpoint)
-        book = self.books.get(endpoint.id)
-        if book is not None and is_other_incarnation(book.endpoint.born, endpoint.born):
-            if endpoint.born < book.endpoint.born:
+        state = self.engines.get(endpoint.id)
+        if state is not None and is_other_incarnation(
+            state.endpoint.born, endpoint.born
+        ):
+            if endpoint.born < state.endpoint.born:
                 return
             # What was loaded, ordered and counted before is no longer so.
             self.drop_endpoint(endpoint.id)
-            book = None
-        if book is None:
-            book = self.books[endpoint.id] = EngineBook(endpoint)
-            book.weights = dict(endpoint.weights)
-        book.endpoint = endpoint
-        self._check_listing(book)
-        self._publish(book.make_row())
-
-    def _check_listing(self, book: EngineBook) -> None:
+            state = None
+        if state is None:
+            state = self.engines[endpoint.id] = EngineState(endpoint)
+            state.weights = dict(endpoint.weights)
+        state.endpoint = endpoint
+        self._check_listing(state)
+        self._publish(state.make_row())
+
+    def _check_listing(self, state: EngineState) -> None:
         """Read the engine's report when its own listing differs from the book."""
         now = self._clock()
-        settled = now - book.ordered_at > LISTING_AGE and not book.incoming
-        if settled and book.endpoint.weights.keys() != book.weights.keys():
-            book.doubt(now)
+        settled = now - state.ordered_at > LISTING_CHECK_DELAY and not state.incoming
+        if settled and state.endpoint.weights.keys() != state.weights.keys():
+            state.require_report(now)
 
     def record_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
         """Take in that an engine refused a request for want of its weights."""
-        book = self.books.get(endpoint)
-        if book is not None and key in book.weights and key not in book.incoming:
+        state = self.engines.get(endpoint)
+        if state is not None and key in state.weights and key not in state.incoming:
             log_decision(
                 LOG, Decision.ENGINE_LACKS_WEIGHTS, endpoint=endpoint, weights=str(key)
             )
-            book.doubt(self._clock())
+            state.require_report(self._clock())
 
-    def note_notice(self, endpoint: EndpointId) -> None:
+    def record_notice(self, endpoint: EndpointId) -> None:
         """Take in that an endpoint has said something of itself."""
-        book = self.books.get(endpoint)
-        if book is not None:
-            book.endpoint = self._fleet.notices.apply_to(book.endpoint)
-            self._publish(book.make_row())
+        state = self.engines.get(endpoint)
+        if state is not None:
+            state.endpoint = self._fleet.notices.apply_to(state.endpoint)
+            self._publish(state.make_row())
         self.wake()
 
     def drop_endpoint(self, endpoint: EndpointId) -> None:
         """Forget an endpoint that is gone."""
-        self.books.pop(endpoint, None)
-        self.soundness.forget(endpoint)
+        self.engines.pop(endpoint, None)
+        self.endpoint_health.remove(endpoint)
 
     def apply_demand(
-        self, vm: str, data_centre: str, told: Iterable[WeightsDemand]
+        self, vm: str, data_centre: str, reported: Iterable[WeightsDemand]
     ) -> None:
         """Take in what a daemon tells of its requests."""
         now = self._clock()
-        for each in told:
-            self.demand.take(vm, data_centre, each, now)
+        for each in reported:
+            self.demand.apply(vm, data_centre, each, now)
             if each.waiting:
                 self.wake()
 
     @property
-    def is_short(self) -> bool:
+    def is_over_capacity(self) -> bool:
         """Tell whether something waits that no engine has a place for."""
-        return self.missing > 0 and not self.room
+        return self.missing > 0 and not self.free_capacity
 
     def wake(self) -> None:
         """Plan at once."""
         self._wake.set()
 
-    def find_order_wait(self) -> Seconds | None:
+    def compute_order_wait(self) -> Seconds | None:
         """Return how long until some engine may be given an order; none: unknown."""
-        waits = (lease.find_order_wait() for lease in self._leases.values())
+        waits = (lease.compute_order_wait() for lease in self._leases.values())
         return min((wait for wait in waits if wait is not None), default=None)
 
     def estimate_load_wait(self) -> Seconds:
         """Return how long it takes from now until an adapter asked for now is there."""
-        quiet = self.find_order_wait()
-        own = WAIT_UNKNOWN if quiet is None else quiet + self._predict_load()
-        other = self.other_wait()
-        return own if other is None else min(own, other + FORWARD_TIME)
+        order_wait = self.compute_order_wait()
+        local_wait = (
+            UNKNOWN_LOAD_WAIT
+            if order_wait is None
+            else order_wait + self._predict_load_time()
+        )
+        remote_wait = self.get_remote_wait()
+        return (
+            local_wait
+            if remote_wait is None
+            else min(local_wait, remote_wait + FORWARD_TIME)
+        )
 
-    def _predict_load(self) -> Seconds:
+    def _predict_load_time(self) -> Seconds:
         """Return how long a load takes with those before it, and until a place frees.
 
         Places free as fast as loads have ended of late.
         """
-        engines = max(1, len(self.books))
-        turns = 1 + self.missing / (INCOMING_COLD * engines)
-        short = max(0, self.missing + 1 - self.places)
-        return turns * self._loader.load_time + short / self._loader.find_turnover()
+        engines = max(1, len(self.engines))
+        batches = 1 + self.missing / (MAX_INCOMING_COLD * engines)
+        excess = max(0, self.missing + 1 - self.available_places)
+        return (
+            batches * self._loader.load_time + excess / self._loader.compute_turnover()
+        )
 
     def list_unmet(self) -> list[WeightsDemand]:
         """Return what is asked for and held nowhere, for a leader that may order."""
@@ -209,43 +224,43 @@
             if row.count_waiting(now) and not self._fleet.is_held(service, key, now)
         ]
 
-    def list_handed(self, data_centre: str) -> list[WeightsDemand]:
+    def list_handed_over(self, data_centre: str) -> list[WeightsDemand]:
         """Return what another leader is asked for."""
-        handed = self.handover.list_for(data_centre)
-        return [make_waiting(service, key, 1) for service, key in handed]
+        handed_over = self.handover.list_assigned(data_centre)
+        return [make_waiting(service, key, 1) for service, key in handed_over]
 
-    def _follow_leases(self) -> None:
+    def _sync_leases(self) -> None:
         """Take up the engines of leases newly held, and let go of those lost."""
-        led = {name for name, lease in self._leases.items() if lease.leads}
+        led_data_centres = {name for name, lease in self._leases.items() if lease.leads}
         for endpoint in self._fleet.endpoints.values():
             lease = self._get_lease(endpoint)
-            if lease.data_centre in led - self._led:
-                self.books.pop(endpoint.id, None)
+            if lease.data_centre in led_data_centres - self._led_data_centres:
+                self.engines.pop(endpoint.id, None)
                 self.put_endpoint(endpoint)
-        for name, book in list(self.books.items()):
-            if not self._get_lease(book.endpoint).leads:
-                del self.books[name]
-        self._led = led
+        for name, state in list(self.engines.items()):
+            if not self._get_lease(state.endpoint).leads:
+                del self.engines[name]
+        self._led_data_centres = led_data_centres
 
     async def run(self) -> None:
         """Plan for ever, while a lease is held."""
         while True:
             if not any(lease.leads for lease in self._leases.values()):
-                self._led = set()
-                self.books.clear()
-                self._ceilings.clear()
+                self._led_data_centres = set()
+                self.engines.clear()
+                self._load_limiters.clear()
                 await wait_at_most(self._wake, IDLE_TICK)
                 self._wake.clear()
                 continue
             await self._wait_for_demand()
-            self._follow_leases()
-            if self._led:
+            self._sync_leases()
+            if self._led_data_centres:
                 self._step()
 
     async def _wait_for_demand(self) -> None:
         """Wait for the next tick, or for a request that waits."""
-        await asyncio.sleep(TICK_LEAST)
-        await wait_at_most(self._wake, TICK - TICK_LEAST)
+        await asyncio.sleep(MIN_TICK)
+        await wait_at_most(self._wake, TICK - MIN_TICK)
         self._wake.clear()
 
     def _step(self) -> None:
@@ -255,147 +270,155 @@
         if configuration is None:
             return
         self.missing = 0
-        self.room = 0
-        self.places = 0
-        self._spare_unsound(now)
-        self.handover.renew(self._led, now)
+        self.free_capacity = 0
+        self.available_places = 0
+        self._quarantine_unhealthy(now)
+        self.handover.renew(self._led_data_centres, now)
         for service in configuration.services.values():
             if service.engine is not None:
                 self._step_service(service.name, service.engine, now)
 
-    def _spare_unsound(self, now: Seconds) -> None:
+    def _quarantine_unhealthy(self, now: Seconds) -> None:
         """Have endpoints left alone where most requests fail, and tried again later."""
-        for name, book in self.books.items():
-            spared = self.soundness.is_spared(name, now)
-            if not spared and self.soundness.is_suspect(name, now):
-                spared = self._may_spare(book.endpoint.service)
-                if spared:
-                    pause = self.soundness.spare(name, now)
+        for name, state in self.engines.items():
+            quarantined = self.endpoint_health.is_quarantined(name, now)
+            if not quarantined and self.endpoint_health.is_suspect(name, now):
+                quarantined = self._can_quarantine(state.endpoint.service)
+                if quarantined:
+                    pause = self.endpoint_health.quarantine(name, now)
                     log_decision(
                         LOG, Decision.ENDPOINT_SPARED, endpoint=name, pause=pause
                     )
-            if spared != book.spared:
-                book.spared = spared
-                self._publish(book.make_row())
+            if quarantined != state.quarantined:
+                state.quarantined = quarantined
+                self._publish(state.make_row())
 
-    def _may_spare(self, service: ServiceName) -> bool:
+    def _can_quarantine(self, service: ServiceName) -> bool:
         """Tell whether one more endpoint of a service may be left alone."""
-        known = [e for e in self._fleet.endpoints.values() if e.service == service]
-        spared = sum(1 for each in known if each.spared)
-        return spared + 1 <= SPARED_PART * len(known)
+        service_endpoints = [
+            e for e in self._fleet.endpoints.values() if e.service == service
+        ]
+        quarantined = sum(1 for each in service_endpoints if each.spared)
+        return quarantined + 1 <= MAX_QUARANTINED_FRACTION * len(service_endpoints)
 
     def _step_service(
         self, service: ServiceName, spec: EngineSpec, now: Seconds
     ) -> None:
-        books = [b for b in self.books.values() if b.endpoint.service == service]
-        for book in books:
-            if not book.busy and self._needs_report(book, now):
-                self._loader.start(book, self._loader.read(book))
-        books = [b for b in books if self._get_lease(b.endpoint).may_order()]
-        open_books = [b for b in books if self._is_open(b, now) and b.has_any_model]
-        ceiling = self._ceilings.setdefault(service, LoadCeiling(self._bounds, now))
-        part = compute_fraction([lease.may_order() for lease in self._leases.values()])
-        ceiling.refill(part * spec.loads_per_second, now)
-        able = [b for b in books if self._is_able(b, now)]
-        able = self._order_models(able, spec, ceiling)
-        able = self._order_versions(able, ceiling)
-        self._order_adapters(service, spec, open_books, able, now)
-
-    def _needs_report(self, book: EngineBook, now: Seconds) -> bool:
-        if book.endpoint.leaving or now < book.failing_until:
+        engines = [b for b in self.engines.values() if b.endpoint.service == service]
+        for state in engines:
+            if not state.busy and self._needs_report(state, now):
+                self._loader.start(state, self._loader.read(state))
+        engines = [b for b in engines if self._get_lease(b.endpoint).can_order()]
+        open_engines = [
+            b for b in engines if self._accepts_adapters(b, now) and b.has_any_model
+        ]
+        limiter = self._load_limiters.setdefault(
+            service, LoadLimiter(self._bounds, now)
+        )
+        fraction = compute_fraction(
+            [lease.can_order() for lease in self._leases.values()]
+        )
+        limiter.refill(fraction * spec.loads_per_second, now)
+        able = [b for b in engines if self._can_take_order(b, now)]
+        able = self._order_models(able, spec, limiter)
+        able = self._order_versions(able, limiter)
+        self._order_adapters(service, spec, open_engines, able, now)
+
+    def _needs_report(self, state: EngineState, now: Seconds) -> bool:
+        if state.endpoint.leaving or now < state.failing_until:
             return False
-        if self._fleet.notices.compute_backoff(book.endpoint, now):
-            self._fleet.notices.record_demand(book.endpoint, now)
+        if self._fleet.notices.compute_backoff(state.endpoint, now):
+            self._fleet.notices.record_demand(state.endpoint, now)
             return False
-        since = now - book.read_at
-        if book.sequence is None:
+        since = now - state.read_at
+        if state.sequence is None:
             return since >= REPORT_LAG
-        return bool(book.leaving) and since >= REPORT_INTERVAL
+        return bool(state.unloading) and since >= REPORT_INTERVAL
 
-    def _is_open(self, book: EngineBook, now: Seconds) -> bool:
+    def _accepts_adapters(self, state: EngineState, now: Seconds) -> bool:
         """Tell whether an engine takes adapters, if not at this very moment."""
         return (
-            book.sequence is not None
-            and all(key.adapter for key in book.incoming)
-            and not book.endpoint.leaving
-            and not book.spared
-            and not self._fleet.notices.is_constrained(book.endpoint, now)
-            and now >= book.failing_until
+            state.sequence is not None
+            and all(key.adapter for key in state.incoming)
+            and not state.endpoint.leaving
+            and not state.quarantined
+            and not self._fleet.notices.is_constrained(state.endpoint, now)
+            and now >= state.failing_until
         )
 
-    def _is_able(self, book: EngineBook, now: Seconds) -> bool:
+    def _can_take_order(self, state: EngineState, now: Seconds) -> bool:
         """Tell whether an engine may be given an order now."""
         return (
-            self._is_open(book, now)
-            and not book.busy
-            and not book.leaving
-            and len(book.incoming) < INCOMING_MOST
+            self._accepts_adapters(state, now)
+            and not state.busy
+            and not state.unloading
+            and len(state.incoming) < MAX_INCOMING
         )
 
     def _order_models(
-        self, books: list[EngineBook], spec: EngineSpec, ceiling: LoadCeiling
-    ) -> list[EngineBook]:
+        self, engines: list[EngineState], spec: EngineSpec, limiter: LoadLimiter
+    ) -> list[EngineState]:
         """Have engines without any base model load one; return the others."""
         ready = []
-        for book in books:
-            if book.has_any_model:
-                ready.append(book)
-            elif not book.incoming and spec.models and ceiling.available:
-                model = self._choose_model(books, spec)
-                ceiling.take()
-                self._loader.start(book, self._loader.load(book, WeightsKey(model)))
+        for state in engines:
+            if state.has_any_model:
+                ready.append(state)
+            elif not state.incoming and spec.models and limiter.available:
+                model = self._choose_model(engines, spec)
+                limiter.acquire()
+                self._loader.start(state, self._loader.load(state, WeightsKey(model)))
         return ready
 
-    def _choose_model(self, books: list[EngineBook], spec: EngineSpec) -> str:
+    def _choose_model(self, engines: list[EngineState], spec: EngineSpec) -> str:
         """Return the model that the fewest engines hold."""
         counts = {each.name: 0 for each in spec.models}
-        for book in books:
-            for key in (*book.weights, *book.incoming):
+        for state in engines:
+            for key in (*state.weights, *state.incoming):
                 if not key.adapter and key.model in counts:
                     counts[key.model] += 1
         return min(counts, key=lambda name: counts[name])
 
     def _order_versions(
-        self, books: list[EngineBook], ceiling: LoadCeiling
-    ) -> list[EngineBook]:
+        self, engines: list[EngineState], limiter: LoadLimiter
+    ) -> list[EngineState]:
         """Have what is outdated replaced; return the engines left.
 
         A model is replaced on one engine at a time: it serves nothing meanwhile.
         """
-        left = []
+        remaining = []
         model_busy = any(
-            not key.adapter for book in self.books.values() for key in book.incoming
+            not key.adapter for state in self.engines.values() for key in state.incoming
         )
-        for book in books:
-            outdated = self._list_outdated(book)
+        for state in engines:
+            outdated = self._list_outdated(state)
             adapters = [key for key in outdated if key.adapter]
             if adapters:
-                self._loader.start(book, self._loader.load(book, adapters[0]))
-            elif outdated and not model_busy and ceiling.available:
+                self._loader.start(state, self._loader.load(state, adapters[0]))
+            elif outdated and not model_busy and limiter.available:
                 model_busy = True
-                ceiling.take()
-                self._loader.start(book, self._loader.load(book, outdated[0]))
+                limiter.acquire()
+                self._loader.start(state, self._loader.load(state, outdated[0]))
             else:
-                left.append(book)
-        return left
+                remaining.append(state)
+        return remaining
 
-    def _list_outdated(self, book: EngineBook) -> list[WeightsKey]:
+    def _list_outdated(self, state: EngineState) -> list[WeightsKey]:
         return [
             key
-            for key, held in book.weights.items()
+            for key, held in state.weights.items()
             if held < (self._fleet.get_newest_version(key) or 0)
-            and key not in book.incoming
+            and key not in state.incoming
         ]
 
     def _order_adapters(
         self,
         service: ServiceName,
         spec: EngineSpec,
-        open_books: list[EngineBook],
-        able: list[EngineBook],
+        open_engines: list[EngineState],
+        ready: list[EngineState],
         now: Seconds,
     ) -> None:
-        known = PlanningRound(
+        planning_round = PlanningRound(
             service=service,
             spec=spec,
             now=now,
@@ -406,45 +429,45 @@
             uses=self.list_uses(),
             load_time=self._loader.load_time,
         )
-        wanted = known.list_requested(
+        requested = planning_round.list_requested(
             lambda key: key in self._loader.placing
-            or self.handover.is_handed((service, key))
+            or self.handover.is_handed_over((service, key))
         )
-        copies = known.find_copies(wanted)
-        names = {book.endpoint.id for book in able}
+        copies = planning_round.list_copies_by_engine(requested)
+        names = {state.endpoint.id for state in ready}
         views = [
-            known.view_engine(
-                book,
-                frozenset(copies.get(book.endpoint.id, ())),
-                able=book.endpoint.id in names,
-                able_cold=len(book.incoming) < INCOMING_COLD,
+            planning_round.make_view(
+                state,
+                frozenset(copies.get(state.endpoint.id, ())),
+                ready=state.endpoint.id in names,
+                ready_for_cold=len(state.incoming) < MAX_INCOMING_COLD,
             )
-            for book in open_books
+            for state in open_engines
         ]
-        for placement in self._plan(views, wanted, now):
-            book = self.books[placement.engine]
-            self._loader.start(book, self._loader.place(book, placement))
-        self._pass_on(service, views, wanted, now)
+        for placement in self._plan(views, requested, now):
+            state = self.engines[placement.engine]
+            self._loader.start(state, self._loader.place(state, placement))
+        self._forward_missing(service, views, requested, now)
 
-    def _pass_on(
+    def _forward_missing(
         self,
         service: ServiceName,
         views: list[EngineView],
-        wanted: list[Wanted],
+        requested: list[RequestedAdapter],
         now: Seconds,
     ) -> None:
         """Ask other leaders for what the engines led here have no place for."""
         missing = sorted(
-            (w for w in wanted if w.waiting and not w.holders and not w.coming),
+            (w for w in requested if w.waiting and not w.holders and not w.loading),
             key=score_missing,
             reverse=True,
         )
-        room = sum(count_room(view, now) for view in views)
-        crowded_out = [(service, each.key) for each in missing[room:]]
-        passed = self.handover.pass_on(crowded_out, self._led, now)
-        self.missing += len(missing) - passed
-        self.places += room
-        self.room += max(0, room - len(missing))
+        free_capacity = sum(count_free_capacity(view, now) for view in views)
+        unplaced = [(service, each.key) for each in missing[free_capacity:]]
+        forwarded = self.handover.forward(unplaced, self._led_data_centres, now)
+        self.missing += len(missing) - forwarded
+        self.available_places += free_capacity
+        self.free_capacity += max(0, free_capacity - len(missing))
 
 
 def make_waiting(service: ServiceName, key: WeightsKey, count: int) -> WeightsDemand:
--- a/src/kestreltally/placing/leaseboard.py
+++ b/src/kestreltally/placing/leasemonitor.py
@@ -18,11 +18,11 @@
 # enough for all daemons of a data centre together: the first one to see a free lease
 # takes it, and its address spreads by the feed.
 READ_INTERVAL: Final[Seconds] = 0.3
-READ_SELDOM: Final[Seconds] = 2.0
-READS_PER_SECOND: Final = 20.0
+MAX_READ_INTERVAL: Final[Seconds] = 2.0
+MAX_READS_PER_SECOND: Final = 20.0
 
 
-class LeaseBoard:
+class LeaseMonitor:
     """Reads all leases in one call, while a leader is not heard."""
 
     def __init__(
@@ -34,28 +34,31 @@
     ) -> None:
         self._store = store
         self._leases = leases
-        self._wants_look = should_poll
+        self._needs_check = should_poll
         self._count_daemons = count_daemons
 
     async def run(self) -> None:
         """Look for ever, whenever it is wanted."""
         while True:
-            if any(self._wants_look(lease) for lease in self._leases.values()):
+            if any(self._needs_check(lease) for lease in self._leases.values()):
                 try:
-                    await self._look()
+                    await self._check()
                 except StoreError as error:
                     log_decision(LOG, Decision.LEASE_NOT_READ, reason=str(error))
-            await asyncio.sleep(self._find_pause())
+            await asyncio.sleep(self._compute_interval())
 
-    def _find_pause(self) -> Seconds:
+    def _compute_interval(self) -> Seconds:
         """Return how long to wait until the next look, so that all share the rate."""
-        group = self._count_daemons() / len(self._leases)
-        usual = min(READ_SELDOM, max(READ_INTERVAL, group / READS_PER_SECOND))
+        daemons_per_lease = self._count_daemons() / len(self._leases)
+        usual = min(
+            MAX_READ_INTERVAL,
+            max(READ_INTERVAL, daemons_per_lease / MAX_READS_PER_SECOND),
+        )
         return usual * random.uniform(0.7, 1.3)
 
-    async def _look(self) -> None:
+    async def _check(self) -> None:
         listing = await self._store.list_objects(LEASE_KIND)
         found = {stored.name: stored for stored in listing.objects}
         for lease in self._leases.values():
-            if self._wants_look(lease):
-                await lease.consider(found.get(lease.data_centre))
+            if self._needs_check(lease):
+                await lease.check(found.get(lease.data_centre))
--- a/src/kestreltally/placing/leaserecords.py
+++ b/src/kestreltally/placing/leaserecords.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True)
-class Sighting:
+class ObservedRevision:
     """A revision of the lease and when it was first known here to exist."""
 
     revision: Revision
--- a/src/kestreltally/placing/ceiling.py
+++ b/src/kestreltally/placing/loadlimiter.py
@@ -15,16 +15,16 @@
 BURST: Final = 1.0
 
 
-def compute_fraction(may_order: Sequence[bool]) -> float:
+def compute_fraction(can_order: Sequence[bool]) -> float:
     """Return a daemon's part of the rate, by whether it may order under each lease.
 
     A lease that is held, but waits until the former holder's last order is past, gives
     no part yet: that one may use it still.
     """
-    return sum(may_order) / len(may_order)
+    return sum(can_order) / len(can_order)
 
 
-class LoadCeiling:
+class LoadLimiter:
     """A token bucket that starts empty, as if a former leader had used it up."""
 
     def __init__(self, bounds: Bounds, now: Seconds) -> None:
@@ -43,6 +43,6 @@
         """Return how many loads may begin now."""
         return int(self._tokens)
 
-    def take(self) -> None:
+    def acquire(self) -> None:
         """Use one load up."""
         self._tokens -= 1.0
--- a/src/kestreltally/placing/loads.py
+++ b/src/kestreltally/placing/loads.py
@@ -11,12 +11,12 @@
 from kestreltally.fleet.model import Endpoint, Seconds, WeightsKey
 from kestreltally.fleet.notices import Unavailable
 from kestreltally.fleet.tables import Fleet
-from kestreltally.placing.books import SILENCES_TO_CLOSE, EngineBook
+from kestreltally.placing.enginestate import MAX_UNANSWERED_CALLS, EngineState
 from kestreltally.placing.orders import (
-    EngineCaller,
-    EngineSilent,
+    EngineClient,
     EngineUnreachable,
-    NotHolding,
+    EngineUnresponsive,
+    OrderNotAllowed,
 )
 from kestreltally.placing.planner import Placement
 from kestreltally.platform.engines import OrderKind, OrderOutcome
@@ -24,27 +24,27 @@
 LOG = logging.getLogger("kestreltally.loads")
 
 # What a load is taken to last before any was measured; then a moving mean is used.
-LOAD_TIME: Final[Seconds] = 0.25
+INITIAL_LOAD_TIME: Final[Seconds] = 0.25
 LOAD_TIME_WEIGHT: Final = 0.1
 # An adapter that the engine kept a copy of comes in some 25 ms.
-WARM_TIME: Final[Seconds] = 0.02
+WARM_LOAD_TIME: Final[Seconds] = 0.02
 # A load that took less than this part of the usual time came from a copy: those take a
 # tenth, and their end is seen some 25 ms late. One that took so many times the usual
 # tells nothing: the engine was slow, or orders were lost.
-QUICK_PART: Final = 0.5
-FAULTY_PART: Final = 2.0
+QUICK_FRACTION: Final = 0.5
+OUTLIER_FACTOR: Final = 2.0
 # A load is asked after at this part of the quickest of the last few, then this often,
 # and more seldom the longer it lasts. By their mean, loads that are quick again after
 # slow ones would be seen to end as late as those for many loads.
-ASK_PART: Final = 0.85
+ASK_FRACTION: Final = 0.85
 ASK_INTERVAL: Final[Seconds] = 0.025
-ASK_LATER_PART: Final = 0.1
-LAST_LOADS: Final = 8
+ASK_BACKOFF_FRACTION: Final = 0.1
+RECENT_LOADS: Final = 8
 # A load that was not seen to end after this is taken as failed.
-LOAD_GIVEN_UP: Final[Seconds] = 4.0
+LOAD_TIMEOUT: Final[Seconds] = 4.0
 # Loads of this time tell how fast places turn over; of so many at the most.
-TURNOVER_TIME: Final[Seconds] = 2.0
-TURNOVER_ROWS: Final = 256
+TURNOVER_WINDOW: Final[Seconds] = 2.0
+MAX_TURNOVER_LOADS: Final = 256
 # An engine that did not answer an order is left alone this long.
 SILENT_PAUSE: Final[Seconds] = 0.2
 
@@ -70,157 +70,161 @@
     def __init__(
         self,
         fleet: Fleet,
-        caller: EngineCaller,
+        client: EngineClient,
         clock: Callable[[], Seconds],
         publish: Callable[[Endpoint], None],
-        is_led: Callable[[EngineBook], bool],
+        is_led: Callable[[EngineState], bool],
     ) -> None:
         self._fleet = fleet
-        self._caller = caller
+        self._client = client
         self._clock = clock
         self._publish = publish
         self._is_led = is_led
         self.tasks: set[asyncio.Task[None]] = set()
         self.placing: set[WeightsKey] = set()
-        self.load_time = LOAD_TIME
-        self._last_loads = deque([LOAD_TIME], maxlen=LAST_LOADS)
-        self._ended_at: deque[Seconds] = deque(maxlen=TURNOVER_ROWS)
+        self.load_time = INITIAL_LOAD_TIME
+        self._recent_loads = deque([INITIAL_LOAD_TIME], maxlen=RECENT_LOADS)
+        self._ended_at: deque[Seconds] = deque(maxlen=MAX_TURNOVER_LOADS)
         self.origins: Counter[LoadOrigin] = Counter()
 
-    def find_turnover(self) -> float:
+    def compute_turnover(self) -> float:
         """Return how many loads a second ended of late, one at the least."""
         now = self._clock()
-        recent = sum(1 for at in self._ended_at if now - at < TURNOVER_TIME)
-        return max(1.0, recent / TURNOVER_TIME)
+        recent = sum(1 for at in self._ended_at if now - at < TURNOVER_WINDOW)
+        return max(1.0, recent / TURNOVER_WINDOW)
 
-    def start(self, book: EngineBook, work: Coroutine[Any, Any, None]) -> None:
+    def start(self, state: EngineState, work: Coroutine[Any, Any, None]) -> None:
         """Do work on an engine, which takes no other meanwhile."""
-        book.busy = True
-        self._spawn(self._guard(book, work))
+        state.busy = True
+        self._spawn(self._run_guarded(state, work))
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def _guard(self, book: EngineBook, work: Coroutine[Any, Any, None]) -> None:
+    async def _run_guarded(
+        self, state: EngineState, work: Coroutine[Any, Any, None]
+    ) -> None:
         """Run work on an engine; whatever it does not answer waits for a report."""
         try:
             await work
-        except EngineSilent as silent:
+        except EngineUnresponsive as error:
             now = self._clock()
-            book.doubt(now)
-            sure = isinstance(silent, EngineUnreachable)
-            book.silences += SILENCES_TO_CLOSE if sure else 1
-            book.failing_until = now + SILENT_PAUSE
+            state.require_report(now)
+            unreachable = isinstance(error, EngineUnreachable)
+            state.unanswered_calls += MAX_UNANSWERED_CALLS if unreachable else 1
+            state.failing_until = now + SILENT_PAUSE
             log_decision(
                 LOG,
                 Decision.ENGINE_SILENT,
-                endpoint=book.endpoint.id,
-                reason=str(silent),
+                endpoint=state.endpoint.id,
+                reason=str(error),
             )
-        except (NotHolding, Unavailable):
+        except (OrderNotAllowed, Unavailable):
             log_decision(LOG, Decision.ORDER_HELD_BACK)
         finally:
-            book.busy = False
-            self.publish(book)
+            state.busy = False
+            self.publish(state)
 
-    async def read(self, book: EngineBook) -> None:
+    async def read(self, state: EngineState) -> None:
         """Take an engine's report in."""
-        report = await self._caller.read_report(book.endpoint)
+        report = await self._client.read_report(state.endpoint)
         now = self._clock()
-        book.apply_report(report, now)
+        state.apply_report(report, now)
         for key in report.warm:
-            self._fleet.copies.record_reported(book.endpoint.id, key)
+            self._fleet.copies.record_reported(state.endpoint.id, key)
 
-    async def load(self, book: EngineBook, key: WeightsKey) -> None:
+    async def load(self, state: EngineState, key: WeightsKey) -> None:
         """Order a load; another task waits for its end."""
-        age = self._fleet.copies.measure_age(book.endpoint.id, key)
-        outcome = await self._caller.order(book, OrderKind.LOAD, key)
-        self.publish(book)
+        age = self._fleet.copies.measure_age(state.endpoint.id, key)
+        outcome = await self._client.order(state, OrderKind.LOAD, key)
+        self.publish(state)
         if outcome is OrderOutcome.DONE:
-            self._end_load(book, key)
+            self._end_load(state, key)
         elif outcome is OrderOutcome.IN_FLIGHT:
-            self._spawn(self._await_load(book, key, age))
+            self._spawn(self._await_load(state, key, age))
 
-    def _end_load(self, book: EngineBook, key: WeightsKey) -> None:
+    def _end_load(self, state: EngineState, key: WeightsKey) -> None:
         self._ended_at.append(self._clock())
         version = self._fleet.get_newest_version(key) or 1
-        book.note_held(key, version, self._clock())
-        self.publish(book)
+        state.record_loaded(key, version, self._clock())
+        self.publish(state)
 
-    def publish(self, book: EngineBook) -> None:
+    def publish(self, state: EngineState) -> None:
         """Tell the others of a book, unless it is no longer this daemon's."""
-        if self._is_led(book):
-            self._publish(book.make_row())
+        if self._is_led(state):
+            self._publish(state.make_row())
 
     async def _await_load(
-        self, book: EngineBook, key: WeightsKey, age: int | None
+        self, state: EngineState, key: WeightsKey, age: int | None
     ) -> None:
         """Ask after a load until it has ended.
 
         ``age`` is how many drops ago the engine held the adapter, if lately.
         """
-        began = self._clock()
+        started_at = self._clock()
         fast = self._fleet.copies.is_retained(age)
-        await asyncio.sleep(WARM_TIME if fast else ASK_PART * min(self._last_loads))
-        while key in book.incoming and self._clock() - began < LOAD_GIVEN_UP:
-            if not self._is_led(book):
+        await asyncio.sleep(
+            WARM_LOAD_TIME if fast else ASK_FRACTION * min(self._recent_loads)
+        )
+        while key in state.incoming and self._clock() - started_at < LOAD_TIMEOUT:
+            if not self._is_led(state):
                 return
-            if book.sequence is not None:
+            if state.sequence is not None:
                 try:
-                    outcome = await self._caller.order(book, OrderKind.LOAD, key)
-                except (EngineSilent, NotHolding, Unavailable):
-                    book.doubt(self._clock())
+                    outcome = await self._client.order(state, OrderKind.LOAD, key)
+                except (EngineUnresponsive, OrderNotAllowed, Unavailable):
+                    state.require_report(self._clock())
                     outcome = OrderOutcome.UNKNOWN
                 if outcome is OrderOutcome.DONE:
-                    self._note_load_time(self._clock() - began, age)
-                    self._note_origin(book, key, self._clock() - began, age)
-                    self._end_load(book, key)
+                    self._record_load_time(self._clock() - started_at, age)
+                    self._record_origin(state, key, self._clock() - started_at, age)
+                    self._end_load(state, key)
                     return
-            passed = self._clock() - began
-            await asyncio.sleep(max(ASK_INTERVAL, ASK_LATER_PART * passed))
-        if book.incoming.pop(key, None) is not None:
+            elapsed = self._clock() - started_at
+            await asyncio.sleep(max(ASK_INTERVAL, ASK_BACKOFF_FRACTION * elapsed))
+        if state.incoming.pop(key, None) is not None:
             log_decision(LOG, Decision.LOAD_NOT_SEEN_TO_END, weights=str(key))
-            book.doubt(self._clock())
+            state.require_report(self._clock())
 
-    def _note_load_time(self, took: Seconds, age: int | None) -> None:
-        fast = took < QUICK_PART * min(self._last_loads)
-        if age is not None and took < FAULTY_PART * self.load_time:
+    def _record_load_time(self, took: Seconds, age: int | None) -> None:
+        fast = took < QUICK_FRACTION * min(self._recent_loads)
+        if age is not None and took < OUTLIER_FACTOR * self.load_time:
             self._fleet.copies.record_load(age, fast=fast)
         if not fast:
-            self._last_loads.append(took)
+            self._recent_loads.append(took)
             self.load_time += LOAD_TIME_WEIGHT * (took - self.load_time)
 
-    def _note_origin(
-        self, book: EngineBook, key: WeightsKey, took: Seconds, age: int | None
+    def _record_origin(
+        self, state: EngineState, key: WeightsKey, took: Seconds, age: int | None
     ) -> None:
         """Count where an adapter came from."""
-        if took < QUICK_PART * min(self._last_loads):
+        if took < QUICK_FRACTION * min(self._recent_loads):
             origin = LoadOrigin.COPY
         elif self._fleet.copies.is_retained(age):
             origin = LoadOrigin.COPY_GONE
-        elif self._fleet.list_copies(book.endpoint.service, key):
+        elif self._fleet.list_copies(state.endpoint.service, key):
             origin = LoadOrigin.COPY_ELSEWHERE
         else:
             origin = LoadOrigin.STORE
         self.origins[origin] += 1
 
-    async def place(self, book: EngineBook, placement: Placement) -> None:
+    async def place(self, state: EngineState, placement: Placement) -> None:
         """Order a load, and before it the unload that makes way."""
         self.placing.add(placement.key)
         try:
-            await self._make_way_and_load(book, placement)
+            await self._evict_and_load(state, placement)
         finally:
             self.placing.discard(placement.key)
 
-    async def _make_way_and_load(self, book: EngineBook, placement: Placement) -> None:
+    async def _evict_and_load(self, state: EngineState, placement: Placement) -> None:
         victim = placement.victim
         if victim is not None:
-            book.begin_unload(victim, self._clock())
-            self._publish(book.make_row())
-            outcome = await self._caller.order(book, OrderKind.UNLOAD, victim)
+            state.start_unload(victim, self._clock())
+            self._publish(state.make_row())
+            outcome = await self._client.order(state, OrderKind.UNLOAD, victim)
             if outcome is not OrderOutcome.DONE:
                 # It waits for its runs, or the book was wrong: a report will tell.
                 return
-        await self.load(book, placement.key)
+        await self.load(state, placement.key)
--- a/src/kestreltally/placing/orders.py
+++ b/src/kestreltally/placing/orders.py
@@ -21,7 +21,7 @@
 )
 from kestreltally.fleet.model import Endpoint, Seconds, WeightsKey
 from kestreltally.fleet.notices import Unavailable
-from kestreltally.placing.books import EngineBook, Incoming
+from kestreltally.placing.enginestate import EngineState, PendingLoad
 from kestreltally.placing.lease import Lease
 from kestreltally.platform.documents import MalformedDocument
 from kestreltally.platform.engines import (
@@ -45,21 +45,21 @@
 # An order without an answer is sent again at once: both expect the same count of
 # orders taken, so the engine carries out one of them at most. A third of the answers
 # may be missing for seconds; then three sends leave one in thirty unanswered.
-ORDER_SENDS: Final = 3
-BODY_LIMIT: Final = 2**20
+MAX_ORDER_SENDS: Final = 3
+MAX_REPORT_BYTES: Final = 2**20
 # An engine's report is some 100 to 200 ms old; after this it shows what came before.
 REPORT_LAG: Final[Seconds] = 0.3
 
 
-class EngineSilent(Exception):
+class EngineUnresponsive(Exception):
     """The engine did not answer; an order may still be carried out."""
 
 
-class EngineUnreachable(EngineSilent):
+class EngineUnreachable(EngineUnresponsive):
     """No channel to the engine could be opened: nothing was sent."""
 
 
-class NotHolding(Exception):
+class OrderNotAllowed(Exception):
     """The lease does not allow an order now."""
 
 
@@ -70,12 +70,12 @@
     lease: Lease
     fence: int
 
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Tell whether the order may leave at this very moment."""
-        return self.lease.may_order() and self.lease.fence == self.fence
+        return self.lease.can_order() and self.lease.fence == self.fence
 
 
-class EngineCaller:
+class EngineClient:
     """Calls engines for their reports and gives them orders under a lease."""
 
     def __init__(
@@ -92,47 +92,47 @@
         self._calls = 0
 
     async def read_report(self, endpoint: Endpoint) -> EngineReport:
-        """Return an engine's report; raises ``EngineSilent`` or ``Unavailable``."""
+        """Return an engine's report; raises ``EngineUnresponsive`` or ``Unavailable``."""
         status, body = await self._call(endpoint, "GET", REPORT_PATH, b"", None)
         if status != 200:
-            raise EngineSilent(f"report: status {status}")
+            raise EngineUnresponsive(f"report: status {status}")
         try:
             return decode_report(body)
         except MalformedDocument as error:
-            raise EngineSilent(str(error)) from error
+            raise EngineUnresponsive(str(error)) from error
 
     async def order(
-        self, book: EngineBook, kind: OrderKind, key: WeightsKey
+        self, state: EngineState, kind: OrderKind, key: WeightsKey
     ) -> OrderOutcome:
-        """Give an order and book its outcome; raises ``EngineSilent``, ``Unavailable``.
+        """Give an order and book its outcome; raises ``EngineUnresponsive``, ``Unavailable``.
 
         To repeat a load is to ask whether it has ended: the engine's answer is of the
         moment, unlike its report, and changes nothing.
         """
-        async with book.lock:
-            return await self._order_alone(book, kind, key)
+        async with state.lock:
+            return await self._order_locked(state, kind, key)
 
-    async def _order_alone(
-        self, book: EngineBook, kind: OrderKind, key: WeightsKey
+    async def _order_locked(
+        self, state: EngineState, kind: OrderKind, key: WeightsKey
     ) -> OrderOutcome:
-        if book.sequence is None:
-            raise EngineSilent("no report yet")
-        lease = self._get_lease(book.endpoint)
+        if state.sequence is None:
+            raise EngineUnresponsive("no report yet")
+        lease = self._get_lease(state.endpoint)
         grant = Grant(lease, lease.fence)
-        order = Order(kind, key, self._holder, grant.fence, book.sequence)
-        status = await self._send_order(book.endpoint, order, grant)
+        order = Order(kind, key, self._holder, grant.fence, state.sequence)
+        status = await self._send_order(state.endpoint, order, grant)
         outcome = decode_outcome(status)
         now = self._clock()
-        book.ordered_at = now
+        state.ordered_at = now
         if outcome in (OrderOutcome.IN_FLIGHT, OrderOutcome.DONE):
-            self._book(book, order, outcome, now)
+            self._record_order(state, order, outcome, now)
         else:
             # The book is wrong somewhere: the next order waits for a report.
-            book.doubt(now)
+            state.require_report(now)
         log_decision(
             LOG,
             Decision.ORDER_GIVEN,
-            endpoint=book.endpoint.id,
+            endpoint=state.endpoint.id,
             order=kind.value,
             weights=str(key),
             fence=order.fence,
@@ -142,7 +142,7 @@
         return outcome
 
     async def _send_order(self, endpoint: Endpoint, order: Order, grant: Grant) -> int:
-        """Return the status of an order's answer; raises ``EngineSilent``."""
+        """Return the status of an order's answer; raises ``EngineUnresponsive``."""
         body = encode_order(order)
         sends = 1
         while True:
@@ -151,8 +151,8 @@
                 return status
             except EngineUnreachable:
                 raise
-            except EngineSilent as silent:
-                if sends == ORDER_SENDS:
+            except EngineUnresponsive as error:
+                if sends == MAX_ORDER_SENDS:
                     raise
                 sends += 1
                 log_decision(
@@ -161,20 +161,20 @@
                     endpoint=endpoint.id,
                     order=order.kind.value,
                     weights=str(order.weights),
-                    reason=str(silent),
+                    reason=str(error),
                 )
 
-    def _book(
-        self, book: EngineBook, order: Order, outcome: OrderOutcome, now: Seconds
+    def _record_order(
+        self, state: EngineState, order: Order, outcome: OrderOutcome, now: Seconds
     ) -> None:
         key = order.weights
         if order.kind is OrderKind.UNLOAD:
-            book.sequence = order.sequence + 1
+            state.sequence = order.sequence + 1
             if outcome is OrderOutcome.DONE:
-                book.note_unloaded(key)
-        elif outcome is OrderOutcome.IN_FLIGHT and key not in book.incoming:
-            book.sequence = order.sequence + 1
-            book.incoming[key] = Incoming(book.sequence, now)
+                state.record_unloaded(key)
+        elif outcome is OrderOutcome.IN_FLIGHT and key not in state.incoming:
+            state.sequence = order.sequence + 1
+            state.incoming[key] = PendingLoad(state.sequence, now)
 
     async def _call(
         self,
@@ -202,11 +202,11 @@
         keep = False
         try:
             # Checked with no pause before the bytes leave.
-            if grant is not None and not grant.holds():
-                raise NotHolding()
+            if grant is not None and not grant.is_valid():
+                raise OrderNotAllowed()
             async with asyncio.timeout(CALL_TIMEOUT):
                 answer = await channel.send(head, body, None)
-                content = await answer.read_all(BODY_LIMIT)
+                content = await answer.read_all(MAX_REPORT_BYTES)
             channel.apply_keep_alive(answer, self._clock())
             keep = True
             return answer.status, content or b""
@@ -214,6 +214,6 @@
             keep = True
             raise
         except (AnswerLost, AnswerTruncated, TimeoutError) as error:
-            raise EngineSilent(repr(error)) from error
+            raise EngineUnresponsive(repr(error)) from error
         finally:
             self._pool.release(channel, keep=keep)
--- a/src/kestreltally/placing/views.py
+++ b/src/kestreltally/placing/views.py
@@ -18,31 +18,31 @@
     WeightsKey,
 )
 from kestreltally.fleet.tables import Fleet
-from kestreltally.placing.books import EngineBook
 from kestreltally.placing.demand import DemandTable, WeightsRow
+from kestreltally.placing.enginestate import EngineState
 from kestreltally.placing.planner import (
-    LEAST_RATE,
+    MIN_RATE,
     EngineView,
     HeldAdapter,
-    Wanted,
+    RequestedAdapter,
 )
 
 
 @dataclass(slots=True)
-class Standing:
+class AdapterDistribution:
     """Where adapters stand in the whole fleet: engines that hold or load them.
 
-    ``holders`` and ``coming`` count engines by data centre; what is ``roomy`` is held
+    ``holders`` and ``loading`` count engines by data centre; what is ``uncrowded`` is held
     by an engine whose batch is not full, and what is ``leaving`` by one that leaves.
     """
 
     holders: dict[WeightsKey, dict[str, int]] = field(
         default_factory=lambda: defaultdict(dict)
     )
-    coming: dict[WeightsKey, dict[str, int]] = field(
+    loading: dict[WeightsKey, dict[str, int]] = field(
         default_factory=lambda: defaultdict(dict)
     )
-    roomy: set[WeightsKey] = field(default_factory=set)
+    uncrowded: set[WeightsKey] = field(default_factory=set)
     leaving: set[WeightsKey] = field(default_factory=set)
 
 
@@ -64,114 +64,119 @@
     uses: set[tuple[EndpointId, WeightsKey]]
     load_time: Seconds
 
-    def list_requested(self, is_seen_to: Callable[[WeightsKey], bool]) -> list[Wanted]:
+    def list_requested(
+        self, is_handled: Callable[[WeightsKey], bool]
+    ) -> list[RequestedAdapter]:
         """Return the adapters that may be loaded: waited for, or asked for often.
 
         What is being seen to already is left out. The others change no plan, and are
         most of those asked for lately.
         """
-        standing = self._find_standing()
-        wanted = []
-        for (asked, key), row in self.demand.list_notable(LEAST_RATE):
-            if asked != self.service or not key.adapter:
+        distribution = self._compute_distribution()
+        requested = []
+        for (service, key), row in self.demand.list_significant(MIN_RATE):
+            if service != self.service or not key.adapter:
                 continue
             waiting = row.sum_waiting(self.now)
-            if not waiting.count and row.rate <= LEAST_RATE:
+            if not waiting.count and row.rate <= MIN_RATE:
                 continue
-            if is_seen_to(key):
+            if is_handled(key):
                 continue
-            wanted.append(
-                Wanted(
+            requested.append(
+                RequestedAdapter(
                     key=key,
                     rates=dict(row.rates),
                     waiting=waiting.count,
-                    timely=waiting.timely,
+                    within_objective=waiting.within_objective,
                     missed=row.missed,
-                    holders=standing.holders.get(key, {}),
-                    coming=standing.coming.get(key, {}),
+                    holders=distribution.holders.get(key, {}),
+                    loading=distribution.loading.get(key, {}),
                     batch=self.spec.batch,
-                    crowded=key in standing.holders and key not in standing.roomy,
+                    crowded=key in distribution.holders
+                    and key not in distribution.uncrowded,
                     waited=self.now - row.waiting_since,
-                    leaving=key in standing.leaving,
+                    leaving=key in distribution.leaving,
                 )
             )
-        return wanted
+        return requested
 
-    def _find_standing(self) -> Standing:
-        standing = Standing()
+    def _compute_distribution(self) -> AdapterDistribution:
+        distribution = AdapterDistribution()
         for endpoint in self.fleet.list_leaving(self.service):
-            standing.leaving.update(endpoint.weights)
+            distribution.leaving.update(endpoint.weights)
         # What others hold is brought elsewhere for who may not ask them.
         for endpoint in self.fleet.list_usable(self.service, self.now):
-            where = endpoint.data_centre
+            data_centre = endpoint.data_centre
             in_flight = self.occupancy.in_flight.get(endpoint.id, 0)
             for key in endpoint.weights:
-                counts = standing.holders[key]
-                counts[where] = counts.get(where, 0) + 1
+                counts = distribution.holders[key]
+                counts[data_centre] = counts.get(data_centre, 0) + 1
                 if in_flight < self.spec.batch:
-                    standing.roomy.add(key)
+                    distribution.uncrowded.add(key)
             for key in endpoint.loading:
-                counts = standing.coming[key]
-                counts[where] = counts.get(where, 0) + 1
-        return standing
+                counts = distribution.loading[key]
+                counts[data_centre] = counts.get(data_centre, 0) + 1
+        return distribution
 
-    def find_copies(self, wanted: list[Wanted]) -> dict[EndpointId, set[WeightsKey]]:
+    def list_copies_by_engine(
+        self, requested: list[RequestedAdapter]
+    ) -> dict[EndpointId, set[WeightsKey]]:
         """Return which of the adapters wanted each engine keeps a copy of."""
         copies: dict[EndpointId, set[WeightsKey]] = defaultdict(set)
-        for each in wanted:
+        for each in requested:
             for endpoint in self.fleet.copies.list_engines(each.key):
                 copies[endpoint].add(each.key)
         return copies
 
-    def view_engine(
+    def make_view(
         self,
-        book: EngineBook,
+        state: EngineState,
         copies: frozenset[WeightsKey],
         *,
-        able: bool,
-        able_cold: bool,
+        ready: bool,
+        ready_for_cold: bool,
     ) -> EngineView:
         """Return an engine as the planner sees it."""
-        name = book.endpoint.id
+        name = state.endpoint.id
         unread = self.occupancy.unread.get(name, 0)
         return EngineView(
             id=name,
-            data_centre=book.endpoint.data_centre,
-            free=book.count_free(self.spec),
-            held=tuple(self._list_held(book)),
+            data_centre=state.endpoint.data_centre,
+            free_places=state.count_free(self.spec),
+            held=tuple(self._list_held(state)),
             warm=copies,
             running=self.occupancy.in_flight.get(name, 0),
-            unread=unread + self._count_coming(book),
+            unread=unread + self._count_loading_tokens(state),
             batch=self.spec.batch,
-            pace=self.prefill_times.compute_token_time(name),
+            prefill_time=self.prefill_times.compute_token_time(name),
             load_time=self.load_time,
-            able=able,
-            able_cold=able_cold,
+            ready=ready,
+            ready_for_cold=ready_for_cold,
         )
 
-    def _list_held(self, book: EngineBook) -> list[HeldAdapter]:
+    def _list_held(self, state: EngineState) -> list[HeldAdapter]:
         """Return the adapters on an engine that stay for now."""
-        nobody = WeightsRow(at=self.now)
-        where = book.endpoint.data_centre
+        no_demand = WeightsRow(at=self.now)
+        data_centre = state.endpoint.data_centre
         held = []
-        for key in book.weights:
-            if not key.adapter or key in book.leaving or key in book.incoming:
+        for key in state.weights:
+            if not key.adapter or key in state.unloading or key in state.incoming:
                 continue
-            row = self.demand.rows.get((self.service, key), nobody)
+            row = self.demand.rows.get((self.service, key), no_demand)
             holders = self.fleet.list_holders(self.service, key, self.now)
             held.append(
                 HeldAdapter(
                     key=key,
-                    since=book.held_since.get(key, 0.0),
+                    since=state.held_since.get(key, 0.0),
                     rate=row.rate,
-                    near=row.rates.get(where, 0.0),
+                    local_rate=row.rates.get(data_centre, 0.0),
                     holders=len(holders),
-                    in_use=(book.endpoint.id, key) in self.uses,
+                    in_use=(state.endpoint.id, key) in self.uses,
                 )
             )
         return held
 
-    def _count_coming(self, book: EngineBook) -> int:
+    def _count_loading_tokens(self, state: EngineState) -> int:
         """Return the prompt tokens that wait for what is on its way to an engine."""
-        rows = (self.demand.rows.get((self.service, key)) for key in book.incoming)
+        rows = (self.demand.rows.get((self.service, key)) for key in state.incoming)
         return sum(row.sum_waiting(self.now).prompt_tokens for row in rows if row)
--- a/src/kestreltally/quotas/ledger.py
+++ b/src/kestreltally/quotas/ledger.py
@@ -30,7 +30,7 @@
 # share of each if they lose contact to the leaders.
 FULL_REPORT_INTERVAL: Final[Seconds] = 1.0
 # Averaging time of the requested rate: two to three reports.
-RATE_TIME: Final[Seconds] = 0.5
+RATE_DECAY_TIME: Final[Seconds] = 0.5
 # Averaging time of the usual number of daemons. Daemons that switch to another leader
 # are briefly counted twice. With the maximum of the last 8 s instead of a mean, an
 # organisation at its limit got half of it for 8 s afterwards.
@@ -167,8 +167,8 @@
 
 def _open_account(now: Seconds) -> Account:
     return Account(
-        asked=RateMeter(RATE_TIME, now),
-        granted=RateMeter(RATE_TIME, now),
+        asked=RateMeter(RATE_DECAY_TIME, now),
+        granted=RateMeter(RATE_DECAY_TIME, now),
         long_term_asked=RateMeter(SHARE_AVERAGE_TIME, now, started_at=now),
         at=now,
     )
--- a/tests/leaderrig.py
+++ b/tests/leaderrig.py
@@ -23,13 +23,13 @@
 from kestreltally.placing.leader import Leader
 from kestreltally.placing.orders import (
     CALL_TIMEOUT,
-    EngineCaller,
-    EngineSilent,
+    EngineClient,
     EngineUnreachable,
+    EngineUnresponsive,
     Grant,
-    NotHolding,
+    OrderNotAllowed,
 )
-from kestreltally.placing.planner import EngineView, HeldAdapter, Wanted
+from kestreltally.placing.planner import EngineView, HeldAdapter, RequestedAdapter
 from tests.entryrig import BOUNDS, MODELS, make_configuration
 
 MODEL = "base"
@@ -38,7 +38,7 @@
 REPORT_LAG = 0.2
 # An engine keeps a copy of what it dropped last, and loads that quickly again.
 COPIES = 24
-QUICK_LOAD_TIME = 0.025
+COPY_LOAD_TIME = 0.025
 
 
 class FakeEngine:
@@ -51,9 +51,9 @@
         self.held: dict[str, int] = {}
         self.has_model = True
         self.incoming: dict[str, float] = {}
-        self.fell = 0
+        self.overfilled = 0
         self.loads = 0
-        self.quick_loads = 0
+        self.copy_loads = 0
         self.load_time = LOAD_TIME
         self.copies: deque[str] = deque(maxlen=COPIES)
         self.history: deque[tuple[float, bytes]] = deque(maxlen=400)
@@ -68,14 +68,14 @@
         self.copies.clear()
         self.has_model = False
 
-    def settle(self, now: float) -> None:
+    def finish_loads(self, now: float) -> None:
         for adapter, ends in list(self.incoming.items()):
             if now >= ends:
                 del self.incoming[adapter]
                 self.held[adapter] = 1
 
-    def take(self, order: dict[str, Any], now: float) -> int:
-        self.settle(now)
+    def apply_order(self, order: dict[str, Any], now: float) -> int:
+        self.finish_loads(now)
         if order["ExpectedRevision"] != self.sequence:
             return 409
         adapter = order.get("Adapter")
@@ -97,14 +97,14 @@
         self.sequence += 1
         self.loads += 1
         quick = adapter in self.copies
-        self.quick_loads += quick
-        self.incoming[adapter] = now + (QUICK_LOAD_TIME if quick else self.load_time)
+        self.copy_loads += quick
+        self.incoming[adapter] = now + (COPY_LOAD_TIME if quick else self.load_time)
         if len(self.held) + len(self.incoming) > PLACES:
-            self.fell += 1
+            self.overfilled += 1
         return 202
 
     def record(self, now: float) -> None:
-        self.settle(now)
+        self.finish_loads(now)
         report = {
             "Models": [
                 {
@@ -130,7 +130,7 @@
         return old[-1] if old else self.history[0][1]
 
 
-class FakeCaller(EngineCaller):
+class FakeClient(EngineClient):
     """Calls fake engines instead of the network, and loses what it is told to."""
 
     def __init__(self, engines: dict[str, FakeEngine], lease: Any, seed: int) -> None:
@@ -155,26 +155,26 @@
         await asyncio.sleep(0.001)
         if endpoint.id in self.unreachable:
             raise EngineUnreachable("refused")
-        if grant is not None and not grant.holds():
-            raise NotHolding()
+        if grant is not None and not grant.is_valid():
+            raise OrderNotAllowed()
         if method == "GET":
             return 200, engine.read(self.now())
         order = json.loads(body)
         if self.lost_orders:
             self.lost_orders -= 1
             await asyncio.sleep(CALL_TIMEOUT)
-            raise EngineSilent("lost")
-        fate = self.random.random() if self.faulty else 1.0
-        if fate < 0.2:
+            raise EngineUnresponsive("lost")
+        outcome = self.random.random() if self.faulty else 1.0
+        if outcome < 0.2:
             asyncio.get_running_loop().call_later(
                 self.random.uniform(2.0, 12.0),
-                lambda: engine.take(order, self.now()),
+                lambda: engine.apply_order(order, self.now()),
             )
             await asyncio.sleep(0.4)
-            raise EngineSilent("late")
-        status = engine.take(order, self.now())
-        if fate < 0.3:
-            raise EngineSilent("answer lost")
+            raise EngineUnresponsive("late")
+        status = engine.apply_order(order, self.now())
+        if outcome < 0.3:
+            raise EngineUnresponsive("answer lost")
         return status, b""
 
 
@@ -186,19 +186,19 @@
             data_centre="north",
             leads=True,
             fence=1,
-            may_order=lambda: True,
-            find_order_wait=lambda: 0.0,
+            can_order=lambda: True,
+            compute_order_wait=lambda: 0.0,
         )
         names = [f"e{number}" for number in range(1, engines + 1)]
         self.engines = {name: FakeEngine(name, "north") for name in names}
         self.fleet = Fleet()
         self.fleet.apply_configuration(make_model_configuration())
-        self.caller = FakeCaller(self.engines, self.lease, seed)
+        self.client = FakeClient(self.engines, self.lease, seed)
         self.leader = Leader(
             self.fleet,
             {"north": self.lease},
             lambda _: self.lease,
-            self.caller,
+            self.client,
             BOUNDS,
             asyncio.get_running_loop().time,
             self.fleet.put_endpoint,
@@ -218,8 +218,8 @@
 
     def ask(self, number: int, waiting: int = 1) -> None:
         key = WeightsKey(MODEL, f"a{number}")
-        told = WeightsDemand(MODELS, key, arrivals=1, waiting=waiting, missed=0)
-        self.leader.apply_demand("vm", "north", [told])
+        reported = WeightsDemand(MODELS, key, arrivals=1, waiting=waiting, missed=0)
+        self.leader.apply_demand("vm", "north", [reported])
 
     def list_holders(self, number: int) -> list[str]:
         return [n for n, each in self.engines.items() if f"a{number}" in each.held]
@@ -259,7 +259,7 @@
     return EngineView(
         id=EndpointId(name),
         data_centre=data_centre,
-        free=max(0, 2 - len(held)),
+        free_places=max(0, 2 - len(held)),
         held=held,
         warm=frozenset(),
         running=0,
@@ -272,6 +272,6 @@
     return HeldAdapter(key, 0.0, rate, rate, holders=1, in_use=in_use)
 
 
-def make_wanted(adapter: str, waiting: int, rate: float = 0.2) -> Wanted:
+def make_requested(adapter: str, waiting: int, rate: float = 0.2) -> RequestedAdapter:
     key = WeightsKey(MODEL, adapter)
-    return Wanted(key, {"north": rate}, waiting, 0.0, holders={}, coming={})
+    return RequestedAdapter(key, {"north": rate}, waiting, 0.0, holders={}, loading={})
--- a/tests/limitsim.py
+++ b/tests/limitsim.py
@@ -16,22 +16,26 @@
 
 from kestreltally.fleet.model import EndpointId
 from kestreltally.fleet.rate_limits import IssuerState, RateLimitState
-from kestreltally.placing.turns import Borrower, TurnLender, find_leased_terms
+from kestreltally.placing.credits import (
+    CreditHolder,
+    CreditIssuer,
+    compute_leased_terms,
+)
 from kestreltally.rates import Bucket, RateMeter
 from tests.virtualtime import VirtualTime
-from tests.windows import WINDOW, count_most
+from tests.windows import WINDOW, count_max_in_window
 
-ENDS_AT: Final = 14.0
+END: Final = 14.0
 # All have heard of the limit by then.
-SETTLED: Final = 1.5
-WAIT_MOST: Final = 0.5
+SETTLE_TIME: Final = 1.5
+MAX_WAIT: Final = 0.5
 GROUPS: Final = 3
-TRIP: Final = (0.001, 0.004)
+TRIP_TIME: Final = (0.001, 0.004)
 REPORT_INTERVAL: Final = 0.2
 MIN_REPORT_INTERVAL: Final = 0.02
 MIN_BATCH_DELAY: Final = (0.02, 0.05)
-E: Final = EndpointId("e")
-HEARD: Final = IssuerState(known=True, daemons=None)
+ENDPOINT: Final = EndpointId("e")
+ISSUER_REACHABLE: Final = IssuerState(known=True, daemons=None)
 
 
 @dataclass
@@ -41,7 +45,7 @@
     group: int
     rate: float
     standing: RateLimitState
-    borrower: Borrower = field(default_factory=Borrower)
+    holder: CreditHolder = field(default_factory=CreditHolder)
     received: int = 0
     reported_at: float = -1.0
     reports: bool = False
@@ -51,29 +55,27 @@
     credit: float = 0.0
 
 
-class Play:
+class Simulation:
     """One seed of one way."""
 
     def __init__(
         self, seed: int, daemons: int, limit: float, asked: float, *, even: bool
     ) -> None:
-        self.draw = random.Random(seed)
+        self.rng = random.Random(seed)
         self.limit = limit
         self.time = VirtualTime()
         self.after = self.time.after
         self.arrivals: list[float] = []
-        self.asked = self.lost = 0
-        self.words = 0
-        weights = [
-            1.0 if even else self.draw.paretovariate(0.9) for _ in range(daemons)
-        ]
+        self.asked = self.refused = 0
+        self.messages = 0
+        weights = [1.0 if even else self.rng.paretovariate(0.9) for _ in range(daemons)]
         self.daemons = [
             Daemon(at % GROUPS, asked * weight / sum(weights), self._make_standing())
             for at, weight in enumerate(weights)
         ]
         for daemon in self.daemons:
-            daemon.credit = self.draw.random()
-            daemon.bucket.level = self.draw.random()
+            daemon.credit = self.rng.random()
+            daemon.bucket.level = self.rng.random()
             self._arrive_later(daemon)
 
     def _make_standing(self) -> RateLimitState:
@@ -85,17 +87,17 @@
     def now(self) -> float:
         return self.time.now
 
-    def run(self) -> "Play":
-        self.begin()
-        self.time.run_until(ENDS_AT)
+    def run(self) -> "Simulation":
+        self.start()
+        self.time.run_until(END)
         return self
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Begin what the way does by itself."""
 
     def _arrive_later(self, daemon: Daemon) -> None:
         if daemon.rate > 0:
-            wait = self.draw.expovariate(daemon.rate)
+            wait = self.rng.expovariate(daemon.rate)
             self.after(wait, lambda: self._arrive(daemon))
 
     def _arrive(self, daemon: Daemon) -> None:
@@ -106,12 +108,12 @@
 
     def ask(self, daemon: Daemon) -> None:
         """Send a request, have it wait, or refuse it."""
-        if self.may_send(daemon):
+        if self.can_send(daemon):
             self.send()
         else:
-            self.lost += 1
+            self.refused += 1
 
-    def may_send(self, daemon: Daemon) -> bool:
+    def can_send(self, daemon: Daemon) -> bool:
         """Tell whether a request may leave at once."""
         raise NotImplementedError
 
@@ -119,104 +121,104 @@
         self.arrivals.append(self.now)
 
     @property
-    def most(self) -> int:
+    def max_in_window(self) -> int:
         """The most requests in a window, once all have heard."""
-        return count_most(self.arrivals, SETTLED)
+        return count_max_in_window(self.arrivals, SETTLE_TIME)
 
     @property
-    def used(self) -> float:
+    def used_fraction(self) -> float:
         """The part of the limit, or of what was asked, that was used."""
-        late = sum(1 for at in self.arrivals if at >= SETTLED)
-        lasts = ENDS_AT - SETTLED
-        usable = min(self.limit * lasts, self.asked * lasts / ENDS_AT)
-        return late / usable if usable else 1.0
+        recent = sum(1 for at in self.arrivals if at >= SETTLE_TIME)
+        duration = END - SETTLE_TIME
+        usable = min(self.limit * duration, self.asked * duration / END)
+        return recent / usable if usable else 1.0
 
 
-class Equal(Play):
+class EqualShares(Simulation):
     """Each daemon keeps an equal part."""
 
-    def may_send(self, daemon: Daemon) -> bool:
+    def can_send(self, daemon: Daemon) -> bool:
         rate = self.limit / len(self.daemons)
         return daemon.bucket.acquire(1, rate, 1.0, self.now)
 
 
-class Shares(Play):
+class ProportionalShares(Simulation):
     """Each daemon keeps the part that it has of what all ask for, as told lately."""
 
-    def begin(self) -> None:
+    def start(self) -> None:
         self.total = 0.0
-        self._tell()
+        self._share_total()
 
-    def _tell(self) -> None:
+    def _share_total(self) -> None:
         self.total = sum(each.asked.read(self.now) for each in self.daemons)
-        self.words += len(self.daemons)
-        self.after(REPORT_INTERVAL, self._tell)
+        self.messages += len(self.daemons)
+        self.after(REPORT_INTERVAL, self._share_total)
 
-    def may_send(self, daemon: Daemon) -> bool:
+    def can_send(self, daemon: Daemon) -> bool:
         part = daemon.asked.read(self.now) / max(self.total, 1e-9)
         return daemon.bucket.acquire(1, min(1.0, part) * self.limit, 1.0, self.now)
 
 
-class Ratio(Shares):
+class CommonRatio(ProportionalShares):
     """Each daemon grants the same part of what it is asked for, as quotas have it."""
 
-    def may_send(self, daemon: Daemon) -> bool:
+    def can_send(self, daemon: Daemon) -> bool:
         daemon.credit += min(1.0, self.limit / max(self.total, 1e-9))
         granted = daemon.credit >= 1.0
         daemon.credit -= granted
         return granted
 
 
-class Turns(Play):
+class Credits(Simulation):
     """Turns are lent by the leader of the endpoint, by way of each group's leader."""
 
-    def begin(self) -> None:
+    def start(self) -> None:
         self.groups = [
             [each for each in self.daemons if each.group == number]
             for number in range(GROUPS)
         ]
-        self.forwards = [Borrower() for _ in range(GROUPS)]
-        self.forward_received = [0] * GROUPS
+        self.group_holders = [CreditHolder() for _ in range(GROUPS)]
+        self.group_received = [0] * GROUPS
         self.leaders = [self._make_lender(number) for number in range(GROUPS)]
         self.owner = RateLimitState()
         self.owner.apply_reported(self.limit, 1, 0.0)
-        self.terms = find_leased_terms(self.owner.rate)
-        self.look_at = float("inf")
+        self.terms = compute_leased_terms(self.owner.rate)
+        self.recheck_at = float("inf")
 
-    def _make_lender(self, number: int) -> TurnLender:
-        own = Borrower()
+    def _make_lender(self, number: int) -> CreditIssuer:
+        own = CreditHolder()
 
-        def list_borrowers(_: EndpointId) -> list[Borrower]:
-            own_group = [each.borrower for each in self.groups[number]]
-            others = self.forwards[1:] if number == 0 else []
+        def list_credit_holders(_: EndpointId) -> list[CreditHolder]:
+            own_group = [each.holder for each in self.groups[number]]
+            others = self.group_holders[1:] if number == 0 else []
             return [*own_group, *others]
 
-        return TurnLender(own, list_borrowers, lambda *_: None, lambda: self.now)
+        return CreditIssuer(own, list_credit_holders, lambda *_: None, lambda: self.now)
 
-    def may_send(self, daemon: Daemon) -> bool:
-        return daemon.standing.use_credit(HEARD, self.now)
+    def can_send(self, daemon: Daemon) -> bool:
+        return daemon.standing.use_credit(ISSUER_REACHABLE, self.now)
 
     def ask(self, daemon: Daemon) -> None:
         daemon.standing.demand.add(1, self.now)
-        if self.may_send(daemon):
+        if self.can_send(daemon):
             self.send()
-        elif daemon.standing.compute_wait(HEARD, self.now) > WAIT_MOST:
-            self.lost += 1
+        elif daemon.standing.compute_wait(ISSUER_REACHABLE, self.now) > MAX_WAIT:
+            self.refused += 1
         else:
             daemon.standing.waiting[2] += 1
             daemon.waiting.append(self.now)
-            self.after(WAIT_MOST, lambda: self._give_up(daemon))
-            self._report_soon(daemon)
+            self.after(MAX_WAIT, lambda: self._time_out(daemon))
+            self._expedite_report(daemon)
             return
         self._report_later(daemon)
 
-    def _give_up(self, daemon: Daemon) -> None:
-        if daemon.waiting and daemon.waiting[0] <= self.now - WAIT_MOST:
+    def _time_out(self, daemon: Daemon) -> None:
+        if daemon.waiting and daemon.waiting[0] <= self.now - MAX_WAIT:
             daemon.waiting.popleft()
             daemon.standing.waiting[2] -= 1
-            self.lost += 1
+            self.refused += 1
 
-    def _report_soon(self, daemon: Daemon) -> None:
+    def _expedite_report(self, daemon: Daemon) -> None:
         if not daemon.reports:
             daemon.reports = True
             gap = max(0.0, daemon.reported_at + MIN_REPORT_INTERVAL - self.now)
@@ -231,65 +233,68 @@
     def _report(self, daemon: Daemon) -> None:
         daemon.reports = False
         daemon.reported_at = self.now
-        wanted, got = daemon.standing.list_requested(self.now), daemon.received
-        self.words += 1
+        requested, received = daemon.standing.list_requested(self.now), daemon.received
+        self.messages += 1
 
         def arrive() -> None:
-            daemon.borrower.wanted = {E: wanted}
-            daemon.borrower.received = {E: got}
+            daemon.holder.requested = {ENDPOINT: requested}
+            daemon.holder.received = {ENDPOINT: received}
             if daemon.group == 0:
-                self._lend()
+                self._issue()
             else:
                 self._forward(daemon.group)
 
-        self.after(self.draw.uniform(*TRIP), arrive)
-        if wanted:
+        self.after(self.rng.uniform(*TRIP_TIME), arrive)
+        if requested:
             self._report_later(daemon)
 
     def _forward(self, group: int) -> None:
-        wanted, got = self.leaders[group].sum_open(E), self.forward_received[group]
-        self.words += 1
+        requested, received = (
+            self.leaders[group].sum_outstanding(ENDPOINT),
+            self.group_received[group],
+        )
+        self.messages += 1
 
         def arrive() -> None:
-            self.forwards[group].wanted = {E: wanted}
-            self.forwards[group].received = {E: got}
-            self._lend()
+            self.group_holders[group].requested = {ENDPOINT: requested}
+            self.group_holders[group].received = {ENDPOINT: received}
+            self._issue()
 
-        self.after(self.draw.uniform(*TRIP) + MIN_REPORT_INTERVAL, arrive)
+        self.after(self.rng.uniform(*TRIP_TIME) + MIN_REPORT_INTERVAL, arrive)
 
-    def _lend(self) -> None:
-        wait = self.leaders[0].issue(E, 1, self.owner, self.terms)
-        if wait is not None and not self.now < self.look_at <= self.now + wait:
-            self.look_at = self.now + wait
-            self.after(wait, self._lend)
+    def _issue(self) -> None:
+        wait = self.leaders[0].issue(ENDPOINT, 1, self.owner, self.terms)
+        if wait is not None and not self.now < self.recheck_at <= self.now + wait:
+            self.recheck_at = self.now + wait
+            self.after(wait, self._issue)
         for number in range(GROUPS):
-            self._tell(number)
+            self._send_credits(number)
 
-    def _tell(self, group: int) -> None:
+    def _send_credits(self, group: int) -> None:
         """Send turns that the owner has lent to one group on their way."""
         if group == 0:
-            self._tell_followers(0)
+            self._send_to_followers(0)
             return
-        ends = self.forwards[group].take_untold().get(E)
+        ends = self.group_holders[group].pop_unreported().get(ENDPOINT)
         if ends is None:
             return
-        self.words += 1
+        self.messages += 1
 
         def arrive() -> None:
-            self.forward_received[group] += len(ends)
-            self.leaders[group].hand_on(E, ends)
-            self._tell_followers(group)
+            self.group_received[group] += len(ends)
+            self.leaders[group].hand_over(ENDPOINT, ends)
+            self._send_to_followers(group)
 
         self.after(
-            self.draw.uniform(*TRIP) + self.draw.uniform(*MIN_BATCH_DELAY), arrive
+            self.rng.uniform(*TRIP_TIME) + self.rng.uniform(*MIN_BATCH_DELAY), arrive
         )
 
-    def _tell_followers(self, group: int) -> None:
+    def _send_to_followers(self, group: int) -> None:
         for daemon in self.groups[group]:
-            ends = daemon.borrower.take_untold().get(E)
+            ends = daemon.holder.pop_unreported().get(ENDPOINT)
             if ends is not None:
-                self.words += 1
-                wait = self.draw.uniform(*TRIP) + self.draw.uniform(*MIN_BATCH_DELAY)
+                self.messages += 1
+                wait = self.rng.uniform(*TRIP_TIME) + self.rng.uniform(*MIN_BATCH_DELAY)
                 self.after(wait, self._make_arrival(daemon, ends))
 
     def _make_arrival(self, daemon: Daemon, ends: list[float]) -> Callable[[], None]:
@@ -297,7 +302,7 @@
             daemon.received += len(ends)
             daemon.standing.wait = self.owner.wait
             daemon.standing.credits.extend(ends)
-            while daemon.waiting and self.may_send(daemon):
+            while daemon.waiting and self.can_send(daemon):
                 daemon.waiting.popleft()
                 daemon.standing.waiting[2] -= 1
                 self.send()
@@ -305,38 +310,43 @@
         return arrive
 
 
-WAYS: Final = {"equal": Equal, "shares": Shares, "ratio": Ratio, "turns": Turns}
+STRATEGIES: Final = {
+    "equal": EqualShares,
+    "shares": ProportionalShares,
+    "ratio": CommonRatio,
+    "turns": Credits,
+}
 
 
-def play(
-    way: str, seed: int, daemons: int, limit: float, asked: float, *, even: bool
-) -> Play:
+def simulate(
+    strategy: str, seed: int, daemons: int, limit: float, asked: float, *, even: bool
+) -> Simulation:
     """Play one seed."""
-    return WAYS[way](seed, daemons, limit, asked, even=even).run()
+    return STRATEGIES[strategy](seed, daemons, limit, asked, even=even).run()
 
 
 @click.command()
 @click.option("--seeds", default=200)
 @click.option("--daemons", default=(6, 30, 79, 1_100), multiple=True)
-@click.option("--way", "ways", default=tuple(WAYS), multiple=True)
+@click.option("--way", "ways", default=tuple(STRATEGIES), multiple=True)
 def main(seeds: int, daemons: tuple[int, ...], ways: tuple[str, ...]) -> None:
     """Print a table of ways."""
     click.echo("| daemons | limit | asked | even | way | most | aim | over | used |")
     for size in daemons:
         for limit in (0.5, 2.9, 8.0, 40.0):
             for asked, even in ((0.9, True), (4.0, True), (4.0, False)):
-                for way in ways:
-                    plays = [
-                        play(way, seed, size, limit, asked * limit, even=even)
+                for strategy in ways:
+                    runs = [
+                        simulate(strategy, seed, size, limit, asked * limit, even=even)
                         for seed in range(seeds)
                     ]
-                    aim = WINDOW * limit + 5
-                    most = max(each.most for each in plays)
-                    over = sum(each.most > aim for each in plays)
-                    used = statistics.mean(each.used for each in plays)
+                    limit_in_window = WINDOW * limit + 5
+                    max_count = max(each.max_in_window for each in runs)
+                    over = sum(each.max_in_window > limit_in_window for each in runs)
+                    used = statistics.mean(each.used_fraction for each in runs)
                     click.echo(
-                        f"| {size} | {limit} | {asked * limit:.1f} | {even} | {way} "
-                        f"| {most} | {aim:.1f} | {over} | {used:.2f} |"
+                        f"| {size} | {limit} | {asked * limit:.1f} | {even} | {strategy} "
+                        f"| {max_count} | {limit_in_window:.1f} | {over} | {used:.2f} |"
                     )
 
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -9,12 +9,12 @@
 from kestreltally.fleet.copies import INITIAL_DEPTH, MAX_ROWS, CopyTable
 from kestreltally.fleet.model import EndpointId, WeightsKey
 from kestreltally.placing.planner import (
-    HOLD_FOR,
+    HOLD_DURATION,
     EngineView,
-    Wanted,
+    RequestedAdapter,
     plan_most_missed_first,
 )
-from tests.leaderrig import LOAD_TIME, MODEL, LeaderRig, make_view, make_wanted
+from tests.leaderrig import LOAD_TIME, MODEL, LeaderRig, make_requested, make_view
 
 FIRST, SECOND = EndpointId("e1"), EndpointId("e2")
 
@@ -89,37 +89,39 @@
     return replace(view, warm=frozenset({make_key(number)}))
 
 
-def plan(engines: list[EngineView], *wanted: Wanted) -> list[tuple[str, str]]:
-    placed = plan_most_missed_first(engines, wanted, 10.0)
+def plan(
+    engines: list[EngineView], *requested: RequestedAdapter
+) -> list[tuple[str, str]]:
+    placed = plan_most_missed_first(engines, requested, 10.0)
     return [(each.engine, each.key.adapter) for each in placed]
 
 
 async def test_an_engine_with_a_copy_is_chosen_before_an_emptier_one() -> None:
     kept = keep_copy(replace(make_view("e1", "north"), running=4), 7)
-    assert plan([make_view("e2", "north"), kept], make_wanted("a7", 1)) == [
+    assert plan([make_view("e2", "north"), kept], make_requested("a7", 1)) == [
         ("e1", "a7")
     ]
 
 
 async def test_an_adapter_waits_a_moment_for_the_engine_with_its_copy() -> None:
-    kept = keep_copy(replace(make_view("e1", "north"), able=False), 7)
+    kept = keep_copy(replace(make_view("e1", "north"), ready=False), 7)
     engines = [make_view("e2", "north"), kept]
-    assert plan(engines, make_wanted("a7", 1)) == []
-    waited = replace(make_wanted("a7", 1), waited=HOLD_FOR)
+    assert plan(engines, make_requested("a7", 1)) == []
+    waited = replace(make_requested("a7", 1), waited=HOLD_DURATION)
     assert plan(engines, waited) == [("e2", "a7")]
 
 
 async def test_two_copies_on_one_engine_come_one_after_the_other() -> None:
     kept = replace(make_view("e1", "north"), warm=frozenset({make_key(7), make_key(8)}))
     engines = [make_view("e2", "north"), kept]
-    wanted = (make_wanted("a7", 1), make_wanted("a8", 1))
-    assert plan(engines, *wanted) == [("e1", "a7")]
+    requested = (make_requested("a7", 1), make_requested("a8", 1))
+    assert plan(engines, *requested) == [("e1", "a7")]
 
 
 async def test_loads_from_the_store_leave_a_way_to_copies() -> None:
-    kept = keep_copy(replace(make_view("e1", "north"), able_cold=False), 7)
-    assert plan([kept], make_wanted("a8", 1)) == []
-    assert plan([kept], make_wanted("a7", 1)) == [("e1", "a7")]
+    kept = keep_copy(replace(make_view("e1", "north"), ready_for_cold=False), 7)
+    assert plan([kept], make_requested("a8", 1)) == []
+    assert plan([kept], make_requested("a7", 1)) == [("e1", "a7")]
 
 
 @pytest.mark.looptime
--- a/tests/test_credit_exchange.py
+++ b/tests/test_credit_exchange.py
@@ -29,7 +29,7 @@
         self.fleet.put_endpoint(ENDPOINT)
         self.fleet.notices.record(ENDPOINT, LIMITED, NOW)
         lease = SimpleNamespace(
-            data_centre=LEADER, leads=leads, holds_alone=lambda: leads
+            data_centre=LEADER, leads=leads, is_sole_holder=lambda: leads
         )
         leaders = SimpleNamespace(
             leads=leads,
--- a/tests/test_soundness.py
+++ b/tests/test_endpointhealth.py
@@ -4,11 +4,11 @@
 
 from kestreltally.entry.outcomes import Outcome, OutcomeCounter
 from kestreltally.fleet.model import EndpointId
-from kestreltally.placing.soundness import (
-    FORGIVEN_AFTER,
-    SPARE_FIRST,
-    SPARE_MOST,
-    SoundnessTable,
+from kestreltally.placing.endpointhealth import (
+    INITIAL_QUARANTINE,
+    MAX_QUARANTINE,
+    QUARANTINE_RESET_DELAY,
+    EndpointHealthTable,
 )
 
 NAME = EndpointId("e1")
@@ -25,28 +25,30 @@
     ],
 )
 def test_most_requests_must_have_failed(whole: int, failed: int, suspect: bool) -> None:
-    table = SoundnessTable()
+    table = EndpointHealthTable()
     table.record(Outcome(NAME, whole, failed), 10.0)
     assert table.is_suspect(NAME, 10.1) is suspect
 
 
-def test_what_happened_long_ago_hardly_counts() -> None:
-    table = SoundnessTable()
+def test_old_outcomes_decay() -> None:
+    table = EndpointHealthTable()
     table.record(Outcome(NAME, 0, 3), 10.0)
     assert not table.is_suspect(NAME, 11.0)
 
 
-def test_an_endpoint_is_left_alone_longer_each_time_and_forgiven() -> None:
-    table = SoundnessTable()
+def test_quarantine_grows_each_time_and_resets() -> None:
+    table = EndpointHealthTable()
     now = 100.0
     pauses = []
     for _ in range(4):
-        pauses.append(table.spare(NAME, now))
-        assert table.is_spared(NAME, now + pauses[-1] - 0.1)
+        pauses.append(table.quarantine(NAME, now))
+        assert table.is_quarantined(NAME, now + pauses[-1] - 0.1)
         now += pauses[-1]
-        assert not table.is_spared(NAME, now)
-    assert pauses == [1.0, 2.0, 4.0, SPARE_MOST]
-    assert table.spare(NAME, now + FORGIVEN_AFTER + 0.1) == SPARE_FIRST
+        assert not table.is_quarantined(NAME, now)
+    assert pauses == [1.0, 2.0, 4.0, MAX_QUARANTINE]
+    assert (
+        table.quarantine(NAME, now + QUARANTINE_RESET_DELAY + 0.1) == INITIAL_QUARANTINE
+    )
 
 
 def test_counts_of_several_daemons_are_summed_and_taken_once() -> None:
--- a/tests/test_lives.py
+++ b/tests/test_incarnations.py
@@ -7,7 +7,7 @@
 import pytest
 
 from kestreltally.fleet.model import Endpoint, EndpointId, ServiceName, WeightsKey
-from kestreltally.placing.books import EngineBook
+from kestreltally.placing.enginestate import EngineState
 from kestreltally.platform.engines import EngineReport
 from tests.leaderrig import MODEL, LeaderRig, make_engine_row
 from tests.test_fleet_daemon import run_fleet
@@ -45,26 +45,26 @@
     )
 
 
-def test_a_report_of_a_newer_life_begins_the_book_anew() -> None:
-    book = EngineBook(make_row(BORN))
-    book.apply_report(make_report(BORN, 7, HELD), 1.0)
-    book.begin_unload(WeightsKey(MODEL, "a1"), 1.1)
+def test_report_of_a_newer_incarnation_resets_the_state() -> None:
+    state = EngineState(make_row(BORN))
+    state.apply_report(make_report(BORN, 7, HELD), 1.0)
+    state.start_unload(WeightsKey(MODEL, "a1"), 1.1)
     # Its counts start anew: by its count alone it would be older than the last order.
-    book.apply_report(make_report(BORN + 9, 0, {}), 2.0)
-    assert (book.sequence, book.weights, book.leaving) == (0, {}, {})
-    assert book.endpoint.born == BORN + 9
-    assert not book.make_row().weights
+    state.apply_report(make_report(BORN + 9, 0, {}), 2.0)
+    assert (state.sequence, state.weights, state.unloading) == (0, {}, {})
+    assert state.endpoint.born == BORN + 9
+    assert not state.make_row().weights
 
 
-def test_a_late_report_of_an_earlier_life_says_nothing() -> None:
-    book = EngineBook(make_row(BORN + 9))
-    book.apply_report(make_report(BORN + 9, 0, {}), 1.0)
-    book.apply_report(make_report(BORN, 7, HELD), 2.0)
-    assert (book.sequence, book.weights) == (0, {})
+def test_late_report_of_an_earlier_incarnation_is_ignored() -> None:
+    state = EngineState(make_row(BORN + 9))
+    state.apply_report(make_report(BORN + 9, 0, {}), 1.0)
+    state.apply_report(make_report(BORN, 7, HELD), 2.0)
+    assert (state.sequence, state.weights) == (0, {})
 
 
 @pytest.mark.looptime
-async def test_a_late_entry_of_an_earlier_life_does_not_undo_a_newer() -> None:
+async def test_late_entry_of_an_earlier_incarnation_is_ignored() -> None:
     rig = LeaderRig()
     try:
         engine = rig.engines["e1"]
@@ -72,36 +72,36 @@
         rig.leader.put_endpoint(make_engine_row(engine))
         before = replace(make_engine_row(engine), born=BORN, weights=dict(HELD))
         rig.leader.put_endpoint(before)
-        book = rig.leader.books[EndpointId("e1")]
-        assert book.endpoint.born == BORN + 9 and not book.weights
+        state = rig.leader.engines[EndpointId("e1")]
+        assert state.endpoint.born == BORN + 9 and not state.weights
     finally:
         rig.close()
 
 
 @pytest.mark.looptime
 @pytest.mark.parametrize("seed", range(12))
-async def test_engines_that_start_again_while_orders_are_late_are_never_overfilled(
+async def test_restarting_engines_are_never_overfilled(
     seed: int,
 ) -> None:
-    draw = Random(seed)
+    rng = Random(seed)
     rig = LeaderRig(seed)
     try:
         born = BORN
         for engine in rig.engines.values():
             engine.born = born
             rig.leader.put_endpoint(make_engine_row(engine))
-        rig.caller.faulty = True
+        rig.client.faulty = True
         for _ in range(60):
-            rig.ask(draw.randrange(20))
-            await asyncio.sleep(draw.uniform(0.05, 0.5))
-            if draw.random() < 0.1:
+            rig.ask(rng.randrange(20))
+            await asyncio.sleep(rng.uniform(0.05, 0.5))
+            if rng.random() < 0.1:
                 born += 1
-                engine = draw.choice(list(rig.engines.values()))
+                engine = rng.choice(list(rig.engines.values()))
                 engine.start_again(born)
-                if draw.random() < 0.5:
+                if rng.random() < 0.5:
                     rig.leader.put_endpoint(make_engine_row(engine))
-        assert all(engine.fell == 0 for engine in rig.engines.values())
-        rig.caller.faulty = False
+        assert all(engine.overfilled == 0 for engine in rig.engines.values())
+        rig.client.faulty = False
         await asyncio.sleep(13.0)
         rig.ask(99)
         await asyncio.sleep(3.0)
@@ -110,7 +110,7 @@
         rig.close()
 
 
-async def test_an_engine_that_starts_again_is_served_by_its_new_life() -> None:
+async def test_restarted_engine_is_used_by_its_new_incarnation() -> None:
     async with run_fleet() as rig:
         assert (await rig.ask("north-1", "/m/x", "a1")).whole
         for engine in rig.engines:
--- a/tests/test_lenders.py
+++ b/tests/test_issuers.py
@@ -11,16 +11,16 @@
 
 from standins.platform_engine import PlatformEngine
 from tests.test_fleet_daemon import FleetRig
-from tests.test_limits import Asking, find_holder, list_plain, run_daemons
-from tests.windows import count_allowed, count_most
+from tests.test_limits import Load, find_holder, list_plain, run_daemons
+from tests.windows import compute_allowed, count_max_in_window
 
 # Every lease is over so long after the store has gone away.
-LEASES_OVER = 8.0
+LEASE_EXPIRY_TIME = 8.0
 # Requests a second of all daemons together.
-ASKED = 50.0
+REQUEST_RATE = 50.0
 
 
-def limit_plain(rig: FleetRig, limit: float) -> list[PlatformEngine]:
+def set_limits(rig: FleetRig, limit: float) -> list[PlatformEngine]:
     """Have the endpoints of the plain service name a limit; return them."""
     engines = list_plain(rig)
     for engine in engines:
@@ -28,74 +28,77 @@
     return engines
 
 
-def ask_all(rig: FleetRig) -> Asking:
-    return Asking(rig, "/a/x", "", len(rig.daemons) / ASKED)
+def make_load(rig: FleetRig) -> Load:
+    return Load(rig, "/a/x", "", len(rig.daemons) / REQUEST_RATE)
 
 
 def check_limit(engine: PlatformEngine, limit: float, since: float) -> None:
-    assert count_most(engine.calls, since) <= count_allowed(limit)
+    assert count_max_in_window(engine.calls, since) <= compute_allowed(limit)
 
 
-def count_used(engines: list[PlatformEngine], since: float, until: float) -> int:
+def count_arrivals(engines: list[PlatformEngine], since: float, until: float) -> int:
     return sum(since <= at < until for each in engines for at in each.arrivals)
 
 
 @pytest.mark.parametrize(("daemons", "limit"), [(4, 2.9), (12, 8.0)])
-async def test_limits_named_while_no_lease_holds_are_used_and_their_ends_heard(
+async def test_limits_named_without_a_valid_lease_are_used_and_removed(
     daemons: int, limit: float
 ) -> None:
     # Guards against leaders that are heard, hold no lease, and so lend nothing.
     async with run_daemons(daemons) as rig:
         loop = asyncio.get_running_loop()
         rig.store.faults.set(down=True)
-        await asyncio.sleep(LEASES_OVER)
-        engines = limit_plain(rig, limit)
+        await asyncio.sleep(LEASE_EXPIRY_TIME)
+        engines = set_limits(rig, limit)
         named_at = loop.time()
-        await ask_all(rig).run(5.0)
+        await make_load(rig).run(5.0)
         for engine in engines:
             check_limit(engine, limit, named_at + 0.5)
-        used = count_used(engines, named_at + 1.0, named_at + 5.0)
+        used = count_arrivals(engines, named_at + 1.0, named_at + 5.0)
         assert used >= 0.25 * 2 * limit * 4.0
         for engine in engines:
             engine.limit = None
-        await ask_all(rig).run(3.0)
-        asking = ask_all(rig)
-        await asking.run(2.0)
-        assert asking.count_refused() <= 0.02 * len(asking.statuses)
+        await make_load(rig).run(3.0)
+        load = make_load(rig)
+        await load.run(2.0)
+        assert load.count_refused() <= 0.02 * len(load.statuses)
 
 
 async def test_a_limit_is_fully_used_soon_after_the_store_is_back() -> None:
     # Guards against bursts as leases hold again, and against lending on by the part.
     async with run_daemons(6) as rig:
         loop = asyncio.get_running_loop()
-        engines = limit_plain(rig, 8.0)
-        began = loop.time()
-        asking = asyncio.create_task(ask_all(rig).run(26.0))
+        engines = set_limits(rig, 8.0)
+        started_at = loop.time()
+        load = asyncio.create_task(make_load(rig).run(26.0))
         for _ in range(2):
             rig.store.faults.set(down=True)
-            await asyncio.sleep(LEASES_OVER)
+            await asyncio.sleep(LEASE_EXPIRY_TIME)
             rig.store.faults.set(down=False)
             back_at = loop.time()
             await asyncio.sleep(4.5)
-            used = count_used(engines, back_at + 0.5, back_at + 4.5)
+            used = count_arrivals(engines, back_at + 0.5, back_at + 4.5)
             assert used >= 0.6 * 2 * 8.0 * 4.0
-        await asking
+        await load
         for engine in engines:
-            check_limit(engine, 8.0, began + 0.5)
+            check_limit(engine, 8.0, started_at + 0.5)
 
 
-async def test_who_alone_holds_an_adapter_is_used_within_its_limit() -> None:
+async def test_only_holder_of_an_adapter_is_used_within_its_limit() -> None:
     # Guards against callers who get nothing where nothing can be loaded elsewhere.
     async with run_daemons(6) as rig:
         engine = await find_holder(rig, "a1")
         engine.limit = 4.0
         loop = asyncio.get_running_loop()
         rig.store.faults.set(down=True)
-        await asyncio.sleep(LEASES_OVER)
-        began = loop.time()
-        await Asking(rig, "/m/x", "a1", 0.2).run(5.0)
-        check_limit(engine, 4.0, began)
-        assert count_used([engine], began + 1.0, began + 5.0) >= 0.25 * 4.0 * 4.0
+        await asyncio.sleep(LEASE_EXPIRY_TIME)
+        started_at = loop.time()
+        await Load(rig, "/m/x", "a1", 0.2).run(5.0)
+        check_limit(engine, 4.0, started_at)
+        assert (
+            count_arrivals([engine], started_at + 1.0, started_at + 5.0)
+            >= 0.25 * 4.0 * 4.0
+        )
 
 
 @pytest.mark.parametrize("stop", [False, True])
@@ -103,11 +106,11 @@
     # Guards against many daemons that wait for the lease before anybody lends.
     async with run_daemons(14) as rig:
         loop = asyncio.get_running_loop()
-        engines = limit_plain(rig, 8.0)
+        engines = set_limits(rig, 8.0)
         named_at = loop.time()
         (north,) = [each for each in engines if each.zone == "north"]
         leader = rig.daemons.pop("north-1")
-        asking = asyncio.create_task(ask_all(rig).run(10.0))
+        load = asyncio.create_task(make_load(rig).run(10.0))
         await asyncio.sleep(2.0)
         if stop:
             await leader.stop()
@@ -116,8 +119,8 @@
         else:
             await leader.close()
             lost_at = loop.time()
-        await asking
-        used = count_used([north], lost_at + 1.0, lost_at + 4.0)
+        await load
+        used = count_arrivals([north], lost_at + 1.0, lost_at + 4.0)
         assert used >= 0.25 * 8.0 * 3.0
         for engine in engines:
             check_limit(engine, 8.0, named_at + 1.5)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -9,13 +9,13 @@
 
 from kestreltally.deployment import SocketAddress
 from kestreltally.placing.lease import (
-    ORDER_TRANSIT,
-    TAKE_AFTER,
-    TAKE_JITTER,
+    MAX_ORDER_TRANSIT,
+    TAKEOVER_DELAY,
+    TAKEOVER_JITTER,
     VALIDITY,
     Lease,
 )
-from kestreltally.placing.leaseboard import READ_INTERVAL, LeaseBoard
+from kestreltally.placing.leasemonitor import READ_INTERVAL, LeaseMonitor
 from kestreltally.platform.store import (
     UNKNOWN_ERA,
     Conflict,
@@ -28,10 +28,10 @@
 
 pytestmark = pytest.mark.looptime
 
-APART = 3.0
+HOLDER_GAP = 3.0
 # From the last fault until somebody orders: an unchanged lease, its validity, and the
 # time apart, with the pauses between looks.
-RETURN_WAIT = 20.0
+RECOVERY_TIME = 20.0
 DATA_CENTRE = "north"
 
 
@@ -42,16 +42,16 @@
         self.objects: dict[str, StoredObject] = {}
         self.number = 0
         self.era = 0
-        self._kept: tuple[dict[str, StoredObject], int] = ({}, 0)
+        self._backup: tuple[dict[str, StoredObject], int] = ({}, 0)
 
-    def keep(self) -> None:
+    def take_backup(self) -> None:
         """Make a copy."""
-        self._kept = dict(self.objects), self.number
+        self._backup = dict(self.objects), self.number
 
-    def come_back(self, moved_on: int = 0) -> None:
+    def restore(self, writes_since: int = 0) -> None:
         """Come back from the last copy, after others have made some changes."""
-        objects, self.number = self._kept
-        self.number += moved_on
+        objects, self.number = self._backup
+        self.number += writes_since
         self.era += 1
         self.objects = {
             name: replace(each, revision=Revision(self.era, each.revision.number))
@@ -65,7 +65,7 @@
     def __init__(self, store: FakeStore) -> None:
         self._store = store
         self.down = False
-        self.loses_answers = False
+        self.drops_answers = False
         self.latency = 0.004
         self.era = UNKNOWN_ERA
         self.restored_at = float("-inf")
@@ -76,25 +76,25 @@
             self.restored_at = asyncio.get_running_loop().time()
         self.era = self._store.era
 
-    async def _cross(self) -> None:
-        swallowed = self.down
+    async def _call(self) -> None:
+        was_down = self.down
         self.calls += 1
         await asyncio.sleep(self.latency)
-        if self.down or swallowed:
+        if self.down or was_down:
             raise StoreError("down")
         self._record_era()
 
     async def list_objects(self, kind: str) -> Listing:
-        await self._cross()
+        await self._call()
         revision = Revision(self._store.era, self._store.number)
         return Listing(tuple(self._store.objects.values()), revision)
 
     async def read(self, kind: str, name: str) -> StoredObject | None:
-        await self._cross()
+        await self._call()
         return self._store.objects.get(name)
 
     async def create(self, kind: str, name: str, content: Any) -> StoredObject:
-        await self._cross()
+        await self._call()
         if name in self._store.objects:
             raise Conflict(self._store.objects[name])
         return self._write(name, content)
@@ -104,7 +104,7 @@
     ) -> StoredObject:
         if revision.era != self.era:
             raise StaleEra("before")
-        await self._cross()
+        await self._call()
         current = self._store.objects.get(name)
         # The store compares numbers only: it is told no era.
         if current is None or current.revision.number != revision.number:
@@ -119,13 +119,13 @@
         revision = Revision(self._store.era, self._store.number)
         written = StoredObject(name, revision, content)
         self._store.objects[name] = written
-        if self.loses_answers:
+        if self.drops_answers:
             raise StoreError("answer lost")
         return written
 
 
 @dataclass
-class Contender:
+class Candidate:
     """A daemon that wants the lease."""
 
     vm: str
@@ -134,14 +134,14 @@
     tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     def start(self) -> None:
-        board = LeaseBoard(
+        monitor = LeaseMonitor(
             self.view,  # type: ignore[arg-type]
             {DATA_CENTRE: self.lease},
             lambda lease: not lease.leads,
         )
         self.tasks = [
             asyncio.create_task(self.lease.run()),
-            asyncio.create_task(board.run()),
+            asyncio.create_task(monitor.run()),
         ]
 
     def kill(self) -> None:
@@ -150,49 +150,49 @@
         self.lease.leads = False
 
 
-def make_contender(store: FakeStore, vm: str, boot: str = "") -> Contender:
+def make_candidate(store: FakeStore, vm: str, boot: str = "") -> Candidate:
     view = StoreView(store)
     lease = Lease(
         view,  # type: ignore[arg-type]
         vm,
         boot or f"{vm}-boot",
         SocketAddress("127.0.0.1", 1),
-        APART,
+        HOLDER_GAP,
         asyncio.get_running_loop().time,
         DATA_CENTRE,
-        TAKE_AFTER,
+        TAKEOVER_DELAY,
     )
-    return Contender(vm, view, lease)
+    return Candidate(vm, view, lease)
 
 
-async def wait_until_ordering(contender: Contender, limit: float) -> float:
+async def wait_until_ordering(candidate: Candidate, limit: float) -> float:
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    while not contender.lease.may_order():
+    started_at = loop.time()
+    while not candidate.lease.can_order():
         await asyncio.sleep(0.01)
-        assert loop.time() - began < limit, f"{contender.vm} may not order"
-    return loop.time() - began
+        assert loop.time() - started_at < limit, f"{candidate.vm} may not order"
+    return loop.time() - started_at
 
 
 async def test_the_first_daemon_may_order_at_once() -> None:
-    first = make_contender(FakeStore(), "a")
+    first = make_candidate(FakeStore(), "a")
     first.start()
-    took = await wait_until_ordering(first, 1.0)
-    assert took < TAKE_JITTER + READ_INTERVAL + 0.05
+    elapsed = await wait_until_ordering(first, 1.0)
+    assert elapsed < TAKEOVER_JITTER + READ_INTERVAL + 0.05
     assert first.lease.fence == 1
 
 
 async def test_a_holder_without_the_store_stops_within_its_validity() -> None:
-    holder = make_contender(FakeStore(), "a")
+    holder = make_candidate(FakeStore(), "a")
     holder.start()
     await wait_until_ordering(holder, 1.0)
     holder.view.down = True
     await asyncio.sleep(VALIDITY)
-    assert not holder.lease.may_order()
+    assert not holder.lease.can_order()
 
 
-async def test_a_holder_goes_on_when_the_store_returns_and_nobody_took_over() -> None:
-    holder = make_contender(FakeStore(), "a")
+async def test_holder_continues_when_the_store_recovers_without_a_takeover() -> None:
+    holder = make_candidate(FakeStore(), "a")
     holder.start()
     await wait_until_ordering(holder, 1.0)
     holder.view.down = True
@@ -204,32 +204,32 @@
 
 async def test_a_successor_waits_for_the_former_holders_last_possible_order() -> None:
     store = FakeStore()
-    former, successor = make_contender(store, "a"), make_contender(store, "b")
+    former, successor = make_candidate(store, "a"), make_candidate(store, "b")
     former.start()
     await wait_until_ordering(former, 1.0)
     successor.start()
     await asyncio.sleep(1.0)
     former.kill()
-    took = await wait_until_ordering(successor, 15.0)
-    assert took >= APART + ORDER_TRANSIT
+    elapsed = await wait_until_ordering(successor, 15.0)
+    assert elapsed >= HOLDER_GAP + MAX_ORDER_TRANSIT
     assert successor.lease.fence == 2
 
 
-async def test_a_released_lease_costs_only_the_time_apart() -> None:
+async def test_released_lease_costs_only_the_holder_gap() -> None:
     store = FakeStore()
-    former, successor = make_contender(store, "a"), make_contender(store, "b")
+    former, successor = make_candidate(store, "a"), make_candidate(store, "b")
     former.start()
     await wait_until_ordering(former, 1.0)
     successor.start()
     await former.lease.release()
     former.kill()
-    took = await wait_until_ordering(successor, 15.0)
-    assert APART <= took < APART + ORDER_TRANSIT + 1.0
+    elapsed = await wait_until_ordering(successor, 15.0)
+    assert HOLDER_GAP <= elapsed < HOLDER_GAP + MAX_ORDER_TRANSIT + 1.0
 
 
 async def test_a_lease_is_released_while_a_renewal_is_on_its_way() -> None:
     store = FakeStore()
-    former = make_contender(store, "a")
+    former = make_candidate(store, "a")
     former.start()
     await wait_until_ordering(former, 1.0)
     renewing = asyncio.create_task(former.lease._renew())
@@ -241,40 +241,40 @@
 
 
 async def wait_until_resigning(
-    holder: Contender, others_renewed_at: float | None = None
+    holder: Candidate, remote_renewed_at: float | None = None
 ) -> float:
     """Ask as a daemon does until the holder is to resign; return how long it took.
 
     Others read the store all the while, and renew unless it is told when they last did.
     """
     clock = asyncio.get_running_loop().time
-    began = clock()
-    while clock() - began < 20.0:
-        renewed_at = clock() if others_renewed_at is None else others_renewed_at
-        if holder.lease.should_resign(renewed_at, others_read_at=clock()):
-            return clock() - began
+    started_at = clock()
+    while clock() - started_at < 20.0:
+        renewed_at = clock() if remote_renewed_at is None else remote_renewed_at
+        if holder.lease.should_resign(renewed_at, remote_read_at=clock()):
+            return clock() - started_at
         await asyncio.sleep(0.1)
     raise AssertionError("never resigned")
 
 
-async def test_a_resigned_number_may_be_followed_without_its_validity() -> None:
+async def test_successor_of_a_resigned_holder_skips_the_validity_wait() -> None:
     store = FakeStore()
-    former, successor = make_contender(store, "a"), make_contender(store, "b")
+    former, successor = make_candidate(store, "a"), make_candidate(store, "b")
     former.start()
     await wait_until_ordering(former, 1.0)
     successor.start()
     former.view.down = True
     assert await wait_until_resigning(former) < VALIDITY - 0.5
-    successor.lease.note_resigned(former.lease.resign())
-    assert not former.lease.may_order()
-    took = await wait_until_ordering(successor, 15.0)
-    assert APART <= took < APART + ORDER_TRANSIT + 1.0
+    successor.lease.record_resigned(former.lease.resign())
+    assert not former.lease.can_order()
+    elapsed = await wait_until_ordering(successor, 15.0)
+    assert HOLDER_GAP <= elapsed < HOLDER_GAP + MAX_ORDER_TRANSIT + 1.0
 
 
 async def test_a_holder_does_not_resign_when_the_store_is_down_for_all() -> None:
     # With a silent store all leaders would give up at once, and wait once it is back.
     store = FakeStore()
-    first, other = make_contender(store, "a"), make_contender(store, "b")
+    first, other = make_candidate(store, "a"), make_candidate(store, "b")
     other.lease.data_centre = "south"
     first.start()
     await wait_until_ordering(first, 1.0)
@@ -292,7 +292,7 @@
     # The store was away for 8 s. When it was back another's renewal came first, and
     # two of five holders gave up before they had tried their own again.
     store = FakeStore()
-    first = make_contender(store, "a")
+    first = make_candidate(store, "a")
     first.start()
     await wait_until_ordering(first, 1.0)
     clock = asyncio.get_running_loop().time
@@ -309,179 +309,179 @@
             others_answered_at = clock()
 
 
-async def test_a_blind_holder_resigns_though_all_other_holders_are_blind() -> None:
+async def test_cut_off_holder_resigns_though_all_holders_are_cut_off() -> None:
     # scale-2 of the grown dala-points: all three leaders were cut from the store, and
     # knew of its answers from each other only, while their followers read it.
     store = FakeStore()
-    first = make_contender(store, "a")
+    first = make_candidate(store, "a")
     first.start()
     await wait_until_ordering(first, 1.0)
     first.view.down = True
-    own_read_at = asyncio.get_running_loop().time()
-    took = await wait_until_resigning(first, others_renewed_at=own_read_at)
-    assert took < VALIDITY - 1.0
+    local_read_at = asyncio.get_running_loop().time()
+    elapsed = await wait_until_resigning(first, remote_renewed_at=local_read_at)
+    assert elapsed < VALIDITY - 1.0
     now = asyncio.get_running_loop().time()
     # With own reads that are answered the store only takes no writes.
     assert not first.lease.should_resign(
-        own_read_at, others_read_at=now, own_read_at=now
+        local_read_at, remote_read_at=now, local_read_at=now
     )
 
 
 async def test_a_daemon_restarted_on_its_vm_need_not_wait() -> None:
     store = FakeStore()
-    former = make_contender(store, "a", "boot-1")
+    former = make_candidate(store, "a", "boot-1")
     former.start()
     await wait_until_ordering(former, 1.0)
     former.kill()
-    again = make_contender(store, "a", "boot-2")
+    again = make_candidate(store, "a", "boot-2")
     again.start()
     assert await wait_until_ordering(again, 5.0) < 1.0
     assert again.lease.fence == 2
 
 
-async def test_a_holder_whose_lease_is_over_knows_not_when_it_may_order() -> None:
+async def test_order_wait_is_unknown_after_lease_expiry() -> None:
     # Guards against loads that are promised soon while none can be ordered.
-    holder = make_contender(FakeStore(), "a")
+    holder = make_candidate(FakeStore(), "a")
     holder.start()
     await wait_until_ordering(holder, 1.0)
-    assert holder.lease.find_order_wait() == 0.0
+    assert holder.lease.compute_order_wait() == 0.0
     holder.view.down = True
     await asyncio.sleep(VALIDITY + 0.1)
     assert holder.lease.leads
-    assert holder.lease.find_order_wait() is None
+    assert holder.lease.compute_order_wait() is None
     holder.view.down = False
     await asyncio.sleep(1.5)
-    assert holder.lease.find_order_wait() == 0.0
+    assert holder.lease.compute_order_wait() == 0.0
     holder.kill()
 
 
-async def test_a_restart_while_still_waiting_waits_on() -> None:
+async def test_restart_during_the_holder_gap_keeps_waiting() -> None:
     store = FakeStore()
-    former = make_contender(store, "a")
+    former = make_candidate(store, "a")
     former.start()
     await wait_until_ordering(former, 1.0)
     former.kill()
-    second = make_contender(store, "b", "boot-1")
+    second = make_candidate(store, "b", "boot-1")
     second.start()
     while not second.lease.leads:
         await asyncio.sleep(0.01)
-    waits = second.lease.find_order_wait()
+    waits = second.lease.compute_order_wait()
     assert waits is not None
     second.kill()
-    again = make_contender(store, "b", "boot-2")
+    again = make_candidate(store, "b", "boot-2")
     again.start()
     assert await wait_until_ordering(again, 15.0) >= waits - 0.8
 
 
-async def test_an_own_write_whose_answer_was_lost_is_known_again() -> None:
-    holder = make_contender(FakeStore(), "a")
+async def test_own_write_with_a_lost_answer_is_recognised() -> None:
+    holder = make_candidate(FakeStore(), "a")
     holder.start()
     await wait_until_ordering(holder, 1.0)
-    holder.view.loses_answers = True
+    holder.view.drops_answers = True
     await asyncio.sleep(1.0)
-    holder.view.loses_answers = False
+    holder.view.drops_answers = False
     assert await wait_until_ordering(holder, 2.0) < 1.0
     assert holder.lease.fence == 1
 
 
-async def test_a_holder_goes_on_as_the_store_comes_back_from_a_copy() -> None:
+async def test_holder_continues_after_a_store_restore() -> None:
     store = FakeStore()
-    holder = make_contender(store, "a")
+    holder = make_candidate(store, "a")
     holder.start()
     await wait_until_ordering(holder, 1.0)
     for _ in range(3):
-        store.keep()
+        store.take_backup()
         await asyncio.sleep(2.5)
-        store.come_back()
+        store.restore()
         calls = holder.view.calls
         for _ in range(40):
             await asyncio.sleep(0.05)
-            assert holder.lease.may_order()
+            assert holder.lease.can_order()
         assert holder.view.calls - calls < 10
     assert holder.lease.fence == 1
 
 
-async def test_a_number_that_the_store_has_lost_is_not_used_again() -> None:
+async def test_fence_lost_by_a_restore_is_not_reused() -> None:
     store = FakeStore()
-    first, second = make_contender(store, "a"), make_contender(store, "b")
+    first, second = make_candidate(store, "a"), make_candidate(store, "b")
     first.start()
     await wait_until_ordering(first, 1.0)
-    store.keep()
+    store.take_backup()
     first.kill()
     second.start()
     await wait_until_ordering(second, 15.0)
     lost = second.lease.fence
     second.kill()
-    store.come_back()
+    store.restore()
     # It knows the copy only, in which the first one holds the lease.
-    third = make_contender(store, "c")
+    third = make_candidate(store, "c")
     third.start()
     stopped_at = asyncio.get_running_loop().time()
     await wait_until_ordering(third, 20.0)
     assert third.lease.fence > lost
     # The second one's last order may have left so late.
     passed = asyncio.get_running_loop().time() - stopped_at
-    assert passed >= VALIDITY + APART
+    assert passed >= VALIDITY + HOLDER_GAP
 
 
-async def test_a_restarted_former_holder_does_not_take_the_copy_for_its_own() -> None:
+async def test_restarted_former_holder_does_not_claim_a_restored_record() -> None:
     store = FakeStore()
-    first, second = make_contender(store, "a"), make_contender(store, "b")
+    first, second = make_candidate(store, "a"), make_candidate(store, "b")
     first.start()
     await wait_until_ordering(first, 1.0)
-    store.keep()
+    store.take_backup()
     first.kill()
     second.start()
     await wait_until_ordering(second, 15.0)
     second.view.down = True
-    store.come_back()
-    again = make_contender(store, "a", "boot-2")
+    store.restore()
+    again = make_candidate(store, "a", "boot-2")
     again.start()
     ordered_at = 0.0
     for _ in range(2_000):
         await asyncio.sleep(0.01)
-        assert not (again.lease.may_order() and second.lease.may_order())
-        if second.lease.may_order():
+        assert not (again.lease.can_order() and second.lease.can_order())
+        if second.lease.can_order():
             ordered_at = asyncio.get_running_loop().time()
-        elif again.lease.may_order():
-            assert asyncio.get_running_loop().time() - ordered_at >= APART
+        elif again.lease.can_order():
+            assert asyncio.get_running_loop().time() - ordered_at >= HOLDER_GAP
 
 
 FAULTS = ("down", "up", "lose", "restart", "slow", "resign")
-RETURNS = (*FAULTS, "keep", "come back")
+FAULTS_WITH_RESTORES = (*FAULTS, "keep", "come back")
 
 
 @pytest.mark.parametrize("seed", range(6))
-async def test_holders_are_apart_and_numbers_rise_under_random_faults(
+async def test_holders_are_separated_and_fences_increase_under_random_faults(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    _, highest = await play_faults(seed, FAULTS, monkeypatch)
+    _, highest = await run_with_faults(seed, FAULTS, monkeypatch)
     assert highest > 1
 
 
 @pytest.mark.parametrize("seed", range(12))
-async def test_holders_are_apart_though_the_store_comes_back_from_copies(
+async def test_holders_are_separated_across_store_restores(
     seed: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    daemons, _ = await play_faults(seed, RETURNS, monkeypatch)
+    daemons, _ = await run_with_faults(seed, FAULTS_WITH_RESTORES, monkeypatch)
     for daemon in daemons:
-        daemon.view.down = daemon.view.loses_answers = False
+        daemon.view.down = daemon.view.drops_answers = False
         daemon.view.latency = 0.004
     # Whoever takes it waits for what the store may have lost, and then orders.
-    await asyncio.sleep(RETURN_WAIT)
-    assert any(each.lease.may_order() for each in daemons)
+    await asyncio.sleep(RECOVERY_TIME)
+    assert any(each.lease.can_order() for each in daemons)
 
 
-async def play_faults(
+async def run_with_faults(
     seed: int, faults: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
-) -> tuple[list[Contender], int]:
+) -> tuple[list[Candidate], int]:
     """Disturb four daemons at random; return them and the highest number seen."""
     # Also what leases draw by themselves is the same for each seed.
     monkeypatch.setattr("kestreltally.placing.lease.random", Random(seed))
-    monkeypatch.setattr("kestreltally.placing.leaseboard.random", Random(seed))
+    monkeypatch.setattr("kestreltally.placing.leasemonitor.random", Random(seed))
     random = Random(seed)
     store = FakeStore()
-    daemons = [make_contender(store, vm) for vm in "abcd"]
+    daemons = [make_candidate(store, vm) for vm in "abcd"]
     for daemon in daemons:
         daemon.start()
     loop = asyncio.get_running_loop()
@@ -489,44 +489,44 @@
     highest = 0
     for step in range(2_000):
         await asyncio.sleep(0.02)
-        ordering = [each for each in daemons if each.lease.may_order()]
+        ordering = [each for each in daemons if each.lease.can_order()]
         assert len(ordering) <= 1
         for each in ordering:
             others = [at for vm, at in last.items() if vm != each.vm]
-            assert all(loop.time() - at >= APART for at in others), (seed, step)
+            assert all(loop.time() - at >= HOLDER_GAP for at in others), (seed, step)
             assert each.lease.fence >= highest
             highest = each.lease.fence
             last[each.vm] = loop.time()
         if random.random() < 0.02:
-            _disturb(random, store, daemons, faults)
+            _inject_fault(random, store, daemons, faults)
     return daemons, highest
 
 
-def _disturb(
+def _inject_fault(
     random: Random,
     store: FakeStore,
-    daemons: list[Contender],
+    daemons: list[Candidate],
     faults: tuple[str, ...],
 ) -> None:
     at = random.randrange(len(daemons))
     daemon = daemons[at]
-    what = random.choice(faults)
-    if what == "keep":
-        store.keep()
-    elif what == "come back":
+    fault = random.choice(faults)
+    if fault == "keep":
+        store.take_backup()
+    elif fault == "come back":
         # Some seconds at the most are lost, and others' writes move the numbers on.
-        store.come_back(random.choice([0, 0, 1, 2, 5, 50]))
-        store.keep()
-    elif what == "restart":
+        store.restore(random.choice([0, 0, 1, 2, 5, 50]))
+        store.take_backup()
+    elif fault == "restart":
         daemon.kill()
-        daemons[at] = make_contender(store, daemon.vm, f"boot-{random.random()}")
+        daemons[at] = make_candidate(store, daemon.vm, f"boot-{random.random()}")
         daemons[at].start()
-    elif what == "resign" and daemon.lease.leads:
+    elif fault == "resign" and daemon.lease.leads:
         fence = daemon.lease.resign()
         for other in daemons:
             if other is not daemon and random.random() < 0.7:
-                other.lease.note_resigned(fence)
+                other.lease.record_resigned(fence)
     else:
-        daemon.view.down = what == "down"
-        daemon.view.loses_answers = what == "lose"
-        daemon.view.latency = 0.25 if what == "slow" else 0.004
+        daemon.view.down = fault == "down"
+        daemon.view.drops_answers = fault == "lose"
+        daemon.view.latency = 0.25 if fault == "slow" else 0.004
--- a/tests/test_limit_table.py
+++ b/tests/test_limit_table.py
@@ -15,14 +15,18 @@
     IssuerState,
     RateLimitState,
 )
-from kestreltally.placing.turns import Borrower, TurnLender, find_leased_terms
+from kestreltally.placing.credits import (
+    CreditHolder,
+    CreditIssuer,
+    compute_leased_terms,
+)
 from kestreltally.platform.headers import list_unrecognised, read_notice
-from tests.limitsim import play
+from tests.limitsim import simulate
 from tests.test_notice_table import ENDPOINT, LEAVING, NOW, REBORN, RESTING
 from tests.windows import WINDOW
 
 LIMITED = Notice(leaves=False, rest=0.0, limit=2.0)
-HEARD = IssuerState(known=True, daemons=6)
+ISSUER_REACHABLE = IssuerState(known=True, daemons=6)
 E = EndpointId("e")
 
 
@@ -57,7 +61,7 @@
     assert list_unrecognised(200, headers) == []
 
 
-def test_what_cannot_be_read_neither_begins_nor_ends_a_limit() -> None:
+def test_unreadable_limit_neither_starts_nor_ends_a_limit() -> None:
     malformed = Notice(leaves=False, rest=0.0, malformed=True)
     standing = RateLimitState()
     assert not standing.receive(malformed, NOW, NOW, from_request=True)
@@ -95,21 +99,21 @@
     assert standing.limit == 3.0
 
 
-def test_a_limit_that_changes_a_little_is_no_news() -> None:
-    news: list[EndpointId] = []
+def test_small_limit_change_is_not_reported() -> None:
+    changes: list[EndpointId] = []
     table = NoticeTable()
-    table.notify_change = news.append
+    table.notify_change = changes.append
     for number, limit in enumerate((2.9, 3.1, 2.7, 2.9)):
         table.record(ENDPOINT, replace(LIMITED, limit=limit), NOW + number)
-    assert len(news) == 1
+    assert len(changes) == 1
     table.record(ENDPOINT, replace(LIMITED, limit=1.0), NOW + 9)
     table.record(ENDPOINT, EMPTY_NOTICE, NOW + 10)
-    assert len(news) == 3
+    assert len(changes) == 3
 
 
-def test_in_whatever_order_words_come_the_newest_holds_at_all() -> None:
-    words = [(2.0, 1), (None, 2), (5.0, 3), (4.0, 3), (None, 3)]
-    for order in permutations(words):
+def test_newest_version_wins_in_any_order() -> None:
+    updates = [(2.0, 1), (None, 2), (5.0, 3), (4.0, 3), (None, 3)]
+    for order in permutations(updates):
         standing = RateLimitState()
         for limit, version in order:
             standing.apply_reported(limit, version, NOW)
@@ -117,7 +121,7 @@
         assert (standing.limit, standing.version) == (4.0, 3)
 
 
-def test_a_daemon_that_hears_the_end_tells_all_and_it_is_forgotten() -> None:
+def test_end_of_a_limit_is_shared_and_pruned() -> None:
     first, second = NoticeTable(), NoticeTable()
     first.record(ENDPOINT, LIMITED, NOW)
     second.apply_reported(first.list_known(NOW), NOW)
@@ -150,9 +154,9 @@
     table.start_send(REBORN, NOW)
 
 
-def test_leaving_rest_and_limit_hold_together() -> None:
+def test_leaving_backoff_and_limit_apply_together() -> None:
     table = NoticeTable()
-    table.get_issuer_state = lambda _: HEARD
+    table.get_issuer_state = lambda _: ISSUER_REACHABLE
     table.record(ENDPOINT, replace(RESTING, limit=2.0), NOW)
     limit = table.get_rate_limit(ENDPOINT.id, ENDPOINT.born)
     assert limit is not None
@@ -168,9 +172,9 @@
     assert table.list_rate_limits() == []
 
 
-def test_each_call_takes_a_turn_and_turns_end() -> None:
+def test_each_call_uses_a_credit_and_credits_expire() -> None:
     table = NoticeTable()
-    table.get_issuer_state = lambda _: HEARD
+    table.get_issuer_state = lambda _: ISSUER_REACHABLE
     table.record(ENDPOINT, LIMITED, NOW)
     with pytest.raises(Unavailable):
         table.start_send(ENDPOINT, NOW)
@@ -184,9 +188,9 @@
         table.start_send(ENDPOINT, NOW + 0.4)
 
 
-def test_requests_return_by_steps_once_a_limit_is_over() -> None:
+def test_requests_ramp_up_after_a_limit_ends() -> None:
     table = NoticeTable()
-    table.get_issuer_state = lambda _: HEARD
+    table.get_issuer_state = lambda _: ISSUER_REACHABLE
     told = KnownNotice(ENDPOINT.id, ENDPOINT.born, False, 0.0, 2.0, 1)
     table.apply_reported([told], NOW)
     table.apply_reported([replace(told, limit=None, limit_version=2)], NOW + 1)
@@ -196,7 +200,7 @@
 
 
 @pytest.mark.parametrize(("daemons", "limit"), [(1, 2.9), (6, 2.9), (12, 8.0)])
-def test_without_a_lender_all_together_keep_to_half_a_limit(
+def test_without_an_issuer_daemons_keep_to_half_a_limit(
     daemons: int, limit: float
 ) -> None:
     nobody = IssuerState(known=False, daemons=daemons)
@@ -216,7 +220,7 @@
 
 
 @pytest.mark.parametrize("daemons", [None, 79, 1_100])
-def test_without_a_lender_nobody_of_many_or_of_unknown_number_calls(
+def test_without_an_issuer_many_or_unknown_daemons_send_nothing(
     daemons: int | None,
 ) -> None:
     nobody = IssuerState(known=False, daemons=daemons)
@@ -231,27 +235,27 @@
 
     def __init__(self, count: int, limit: float) -> None:
         self.now = NOW
-        self.borrowers = [Borrower() for _ in range(count)]
+        self.holders = [CreditHolder() for _ in range(count)]
         self.limit = RateLimitState()
         self.limit.apply_reported(limit, 1, NOW)
-        self.lender = TurnLender(
-            Borrower(), lambda _: self.borrowers, lambda *_: None, lambda: self.now
+        self.issuer = CreditIssuer(
+            CreditHolder(), lambda _: self.holders, lambda *_: None, lambda: self.now
         )
         self.issue()
 
     def issue(self) -> float | None:
-        terms = find_leased_terms(self.limit.rate)
-        return self.lender.issue(E, 1, self.limit, terms)
+        terms = compute_leased_terms(self.limit.rate)
+        return self.issuer.issue(E, 1, self.limit, terms)
 
     def list_lent(self) -> list[int]:
-        return [each.lent[E] for each in self.borrowers]
+        return [each.issued[E] for each in self.holders]
 
 
-def test_the_more_urgent_come_first_and_who_had_none() -> None:
+def test_credits_go_to_the_most_urgent_then_the_least_recently_served() -> None:
     rig = Rig(3, 2.0)
-    rig.borrowers[0].wanted = {E: {3: 5}}
-    rig.borrowers[1].wanted = {E: {1: 1, 3: 1}}
-    rig.borrowers[2].wanted = {E: {PREFETCH_URGENCY: 9}}
+    rig.holders[0].requested = {E: {3: 5}}
+    rig.holders[1].requested = {E: {1: 1, 3: 1}}
+    rig.holders[2].requested = {E: {PREFETCH_URGENCY: 9}}
     order = []
     for _ in range(6):
         before = rig.list_lent()
@@ -265,30 +269,30 @@
     assert 2 not in order[:6]
 
 
-def test_what_is_on_its_way_is_not_lent_again() -> None:
+def test_credits_in_transit_are_not_issued_again() -> None:
     rig = Rig(1, 100.0)
-    borrower = rig.borrowers[0]
-    borrower.wanted = {E: {2: 2}}
+    holder = rig.holders[0]
+    holder.requested = {E: {2: 2}}
     for _ in range(10):
         rig.now += 0.1
         assert rig.issue() is None
-    assert borrower.lent[E] == 2
+    assert holder.issued[E] == 2
     # The next report knows of one, and that another request has come.
-    borrower.wanted, borrower.received = {E: {2: 2}}, {E: 1}
+    holder.requested, holder.received = {E: {2: 2}}, {E: 1}
     rig.now += 0.1
     rig.issue()
-    assert borrower.lent[E] == 3
+    assert holder.issued[E] == 3
 
 
-def test_who_waits_is_told_how_long() -> None:
+def test_wait_estimate_covers_waiting_requests() -> None:
     rig = Rig(1, 2.0)
     assert rig.limit.wait == 0.0
-    rig.borrowers[0].wanted = {E: {2: 20}}
+    rig.holders[0].requested = {E: {2: 20}}
     rig.now += 0.1
     rig.issue()
     assert 5.0 < rig.limit.wait < 12.0
     assert rig.limit.is_constrained()
-    rig.borrowers[0].wanted = {E: {PREFETCH_URGENCY: 3}}
+    rig.holders[0].requested = {E: {PREFETCH_URGENCY: 3}}
     rig.now += 0.1
     rig.issue()
     assert not rig.limit.is_constrained()
@@ -297,17 +301,18 @@
 @pytest.mark.parametrize("seed", range(3))
 @pytest.mark.parametrize("daemons", [6, 79])
 @pytest.mark.parametrize("limit", [0.5, 2.9, 8.0, 40.0])
-def test_turns_keep_a_limit_in_any_window(
+def test_credits_keep_a_limit_in_any_window(
     daemons: int, limit: float, seed: int
 ) -> None:
     even = Random(seed).random() < 0.5
-    played = play("turns", seed, daemons, limit, 3 * limit, even=even)
-    assert played.most <= WINDOW * limit + 5
+    simulation = simulate("turns", seed, daemons, limit, 3 * limit, even=even)
+    assert simulation.max_in_window <= WINDOW * limit + 5
 
 
 @pytest.mark.parametrize(("daemons", "limit"), [(6, 2.9), (6, 40.0), (79, 8.0)])
 def test_most_of_a_limit_is_used(daemons: int, limit: float) -> None:
-    plays = [
-        play("turns", seed, daemons, limit, 4 * limit, even=True) for seed in range(4)
+    runs = [
+        simulate("turns", seed, daemons, limit, 4 * limit, even=True)
+        for seed in range(4)
     ]
-    assert sum(each.used for each in plays) / len(plays) >= 0.8
+    assert sum(each.used_fraction for each in runs) / len(runs) >= 0.8
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -20,10 +20,10 @@
 
 from standins.platform_engine import PlatformEngine
 from tests.test_fleet_daemon import FleetRig, run_fleet
-from tests.windows import count_allowed, count_most
+from tests.windows import compute_allowed, count_max_in_window
 
 # The rule holds from so long after the word on.
-HEARD_WITHIN = 1.5
+PROPAGATION_TIME = 1.5
 
 
 @asynccontextmanager
@@ -38,7 +38,7 @@
     return run_daemons(6)
 
 
-class Asking:
+class Load:
     """Asks each daemon some times a second, and keeps what came of it."""
 
     def __init__(self, rig: FleetRig, path: str, adapter: str, pause: float) -> None:
@@ -47,13 +47,13 @@
         self.statuses: list[int] = []
         self.waits: list[float] = []
 
-    async def run(self, lasts: float) -> None:
-        await asyncio.gather(*(self._ask(vm, lasts) for vm in self._rig.daemons))
+    async def run(self, duration: float) -> None:
+        await asyncio.gather(*(self._ask(vm, duration) for vm in self._rig.daemons))
 
-    async def _ask(self, vm: str, lasts: float) -> None:
+    async def _ask(self, vm: str, duration: float) -> None:
         loop = asyncio.get_running_loop()
         asks = []
-        for number in range(int(lasts / self._pause)):
+        for number in range(int(duration / self._pause)):
             asks.append(loop.create_task(self._ask_once(vm, f"{vm}-{number}")))
             await asyncio.sleep(self._pause)
         await asyncio.gather(*asks)
@@ -90,76 +90,76 @@
         rig.store.faults.set(down=store_away)
         loop = asyncio.get_running_loop()
         named_at = loop.time()
-        asking = Asking(rig, "/a/x", "", 0.1)
-        await asking.run(7.0)
-        most = count_most(engine.calls, named_at + HEARD_WITHIN)
-        assert most <= count_allowed(engine.limit)
+        load = Load(rig, "/a/x", "", 0.1)
+        await load.run(7.0)
+        most = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
+        assert most <= compute_allowed(engine.limit)
         # The other endpoint has room for all.
-        assert asking.count_refused() == 0
+        assert load.count_refused() == 0
 
 
-async def test_what_only_a_limited_engine_holds_is_brought_elsewhere() -> None:
+async def test_adapter_held_only_by_a_limited_engine_is_loaded_elsewhere() -> None:
     async with run_six() as rig:
         engine = await find_holder(rig, "a1")
         engine.limit = 2.9
         loop = asyncio.get_running_loop()
         named_at = loop.time()
-        asking = Asking(rig, "/m/x", "a1", 0.1)
-        await asking.run(7.0)
-        most = count_most(engine.calls, named_at + HEARD_WITHIN)
-        assert most <= count_allowed(engine.limit)
-        assert asking.count_refused() <= 0.02 * len(asking.statuses)
+        load = Load(rig, "/m/x", "a1", 0.1)
+        await load.run(7.0)
+        most = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
+        assert most <= compute_allowed(engine.limit)
+        assert load.count_refused() <= 0.02 * len(load.statuses)
 
 
-async def test_an_endpoint_whose_limit_is_over_is_used_again() -> None:
+async def test_endpoint_is_used_again_after_its_limit_ends() -> None:
     async with run_six() as rig:
         engine = find_plain(rig)
         engine.limit = 2.9
-        asking = Asking(rig, "/a/x", "", 0.1)
-        await asking.run(3.0)
+        load = Load(rig, "/a/x", "", 0.1)
+        await load.run(3.0)
         engine.limit = None
         over_at = asyncio.get_running_loop().time()
-        await asking.run(4.0)
-        assert asking.count_refused() == 0
+        await load.run(4.0)
+        assert load.count_refused() == 0
         # Half of what is asked for, of which the limit was a tenth.
         late = [at for at in engine.arrivals if at > over_at + 2.0]
         assert len(late) > 2.0 * 6 / 0.1 / 2 / 2
 
 
-async def test_a_limit_holds_though_its_lender_is_lost() -> None:
+async def test_limit_holds_after_its_issuer_is_lost() -> None:
     async with run_six() as rig:
         engine = find_plain(rig)
         engine.limit = 2.9
         named_at = asyncio.get_running_loop().time()
-        asking = Asking(rig, "/a/x", "", 0.1)
-        running = asyncio.create_task(asking.run(9.0))
+        load = Load(rig, "/a/x", "", 0.1)
+        running = asyncio.create_task(load.run(9.0))
         await asyncio.sleep(2.5)
-        (lender,) = [
+        (issuer,) = [
             vm
             for vm, daemon in rig.daemons.items()
             if daemon._leases[engine.zone].leads
         ]
         # Its clients go on asking it, in vain.
-        await rig.daemons[lender].close()
+        await rig.daemons[issuer].close()
         await asyncio.gather(running, return_exceptions=True)
-        most = count_most(engine.calls, named_at + HEARD_WITHIN)
-        assert most <= count_allowed(engine.limit)
+        most = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
+        assert most <= compute_allowed(engine.limit)
 
 
-async def test_all_endpoints_limited_callers_are_told_when_to_come_back() -> None:
+async def test_callers_get_retry_after_when_all_endpoints_are_limited() -> None:
     async with run_six() as rig:
         engines = list_plain(rig)
         for engine in engines:
             engine.limit = 2.9
         named_at = asyncio.get_running_loop().time()
-        asking = Asking(rig, "/a/x", "", 0.2)
-        await asking.run(6.0)
+        load = Load(rig, "/a/x", "", 0.2)
+        await load.run(6.0)
         for engine in engines:
-            most = count_most(engine.calls, named_at + HEARD_WITHIN)
-            assert most <= count_allowed(engine.limit)
-        assert set(asking.statuses) == {200, 503}
-        assert all(wait >= 0.3 for wait in asking.waits)
-        served = asking.statuses.count(200)
+            most = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
+            assert most <= compute_allowed(engine.limit)
+        assert set(load.statuses) == {200, 503}
+        assert all(wait >= 0.3 for wait in load.waits)
+        served = load.statuses.count(200)
         assert served > 0.8 * 2 * 2.9 * 6.0
 
 
@@ -171,6 +171,6 @@
         rig.store.faults.set(down=True)
         # Every lease is over by then.
         await asyncio.sleep(8.0)
-        asking = Asking(rig, "/a/x", "", 0.2)
-        await asking.run(4.0)
-        assert asking.statuses.count(200) >= 0.25 * 2 * 8.0 * 4.0
+        load = Load(rig, "/a/x", "", 0.2)
+        await load.run(4.0)
+        assert load.statuses.count(200) >= 0.25 * 2 * 8.0 * 4.0
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -13,7 +13,7 @@
 
 from kestreltally.eventloop import run_with_suspensions
 from kestreltally.knowledge.authority import Authority
-from tests.test_lease import FakeStore, make_contender, wait_until_ordering
+from tests.test_lease import FakeStore, make_candidate, wait_until_ordering
 
 SUSPENSION = 8.0
 
@@ -38,11 +38,11 @@
     suspend: Callable[[], None],
 ) -> None:
     async def run_scenario() -> None:
-        holder = make_contender(FakeStore(), "a")
+        holder = make_candidate(FakeStore(), "a")
         holder.start()
         await wait_until_ordering(holder, 2.0)
         suspend()
-        assert not holder.lease.may_order()
+        assert not holder.lease.can_order()
         holder.kill()
 
     run_with_suspensions(run_scenario())
--- a/tests/virtualtime.py
+++ b/tests/virtualtime.py
@@ -13,16 +13,16 @@
         self._numbers = count()
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
+    def at(self, due_at: float, callback: Callable[[], None]) -> None:
         """Have something done at a moment, after what is due then already."""
-        heappush(self._events, (when, next(self._numbers), what))
+        heappush(self._events, (due_at, next(self._numbers), callback))
 
-    def after(self, wait: float, what: Callable[[], None]) -> None:
+    def after(self, delay: float, callback: Callable[[], None]) -> None:
         """Have something done after a while."""
-        self.at(self.now + wait, what)
+        self.at(self.now + delay, callback)
 
-    def run_until(self, ends_at: float) -> None:
+    def run_until(self, end: float) -> None:
         """Do what is due before a moment."""
-        while self._events and self._events[0][0] < ends_at:
-            self.now, _, what = heappop(self._events)
-            what()
+        while self._events and self._events[0][0] < end:
+            self.now, _, callback = heappop(self._events)
+            callback()
--- a/tests/windows.py
+++ b/tests/windows.py
@@ -8,15 +8,17 @@
 WINDOW: Final = 4.0
 
 
-def count_allowed(limit: float) -> float:
+def compute_allowed(limit: float) -> float:
     """Return how many requests the rule allows in a window."""
     return 1.5 * limit * WINDOW + 5
 
 
-def count_most(times: Iterable[float], since: float, window: float = WINDOW) -> int:
+def count_max_in_window(
+    times: Iterable[float], since: float, window: float = WINDOW
+) -> int:
     """Return the most calls in any window that begins after a moment."""
-    late = sorted(at for at in times if at >= since)
-    ends = range(1, len(late) + 1)
+    recent = sorted(at for at in times if at >= since)
+    ends = range(1, len(recent) + 1)
     return max(
-        (end - bisect_left(late, late[end - 1] - window) for end in ends), default=0
+        (end - bisect_left(recent, recent[end - 1] - window) for end in ends), default=0
     )
