--- a/src/kestreltally/placing/__init__.py
+++ b/src/kestreltally/placing/__init__.py
@@ -1,1 +1,1 @@
-"""The leader: who may give orders, and which adapters stand on which engines."""
+"""Leader election and the placement of adapters on engines."""
--- a/src/kestreltally/placing/credits.py
+++ b/src/kestreltally/placing/credits.py
@@ -1,13 +1,14 @@
-"""Lends turns at endpoints that name a limit: one place counts for all daemons.
+"""Issues credits for calls at rate-limited endpoints, counted centrally.
 
-Equal parts starve who asks alone, and everybody in a large fleet. One ratio for all, as
-quotas have it, keeps a mean over many requests, and no window of a few. So a turn is
-lent for each call, to who waits for it, the more urgent first.
+Equal shares starve a daemon that requests alone, and every daemon of a large fleet. A
+common ratio, as quotas use, keeps a mean over many requests but not a window of a few.
+So one credit is issued per call, to a daemon with a waiting request, most urgent first.
 
-Who holds the endpoint's lease lends all of a limit. Nobody may hold it for long, as the
-store is away or the holder is lost: then each leader lends to those that it hears their
-share of a part of the limit. A daemon follows one lender, so these shares are that part
-at the most over all, and a holder that only others hear may lend beside them.
+The holder of the endpoint's lease issues the whole limit. There may be no holder for a
+long time, while the store is down or after a holder is lost: then each leader issues a
+fraction of the limit, in proportion to the daemons that it reaches. A daemon follows
+one issuer, so these shares add up to that fraction at most, and a holder that only
+others can reach may issue besides.
 """
 
 from collections import Counter
@@ -23,46 +24,48 @@
 )
 from kestreltally.rates import Bucket
 
-# A turn ends so long after it was lent.
+# A credit expires this long after it was issued.
 CREDIT_TTL: Final[Seconds] = 0.4
-# In any such time an endpoint gets its limit, and so many calls more at the most.
+# In any window an endpoint gets at most its limit and this many extra calls.
 WINDOW: Final[Seconds] = 4.0
 WINDOW_BURST: Final = 4.0
-# Turns that may be lent at once, and what of the limit besides.
+# Credits that can be issued at once: the minimum, plus the limit over this time.
 MIN_DEPTH: Final = 2.0
 DEPTH_TIME: Final[Seconds] = 0.05
 
-# Who lends without a lease lends a turn once it is there, nearly whole, and keeps one
-# at the most: a few who lend in one moment must not add up.
+# An issuer without the lease issues a credit once its bucket holds nearly a whole one,
+# and accumulates one at most: several such issuers must not add up to a burst.
 UNLEASED_DEPTH: Final = 1.0
 UNLEASED_MIN_LEVEL: Final = 0.99
 
-# How long calls wait is worked out so often: all borrowers are asked for it.
+# The wait estimate is updated this often, as it asks all credit holders.
 ESTIMATE_INTERVAL: Final[Seconds] = 0.05
-# A moment later a turn is surely there.
+# Added to a recheck delay, so that the credit has accrued by then.
 MIN_RECHECK_DELAY: Final[Seconds] = 0.001
 
-# Turns wanted, by urgency: the lower number first.
+# Requested credits by urgency; lower numbers come first.
 CreditDemand = dict[int, int]
 
 
 @dataclass(slots=True, eq=False)
 class CreditHolder:
-    """A daemon that wants turns, or the leader of some; it begins anew as it connects.
+    """A daemon that requests credits, or a leader for its followers.
 
-    ``received`` is how many turns it had got as it wrote ``requested``; of those lent
-    since it does not know yet.
+    Its counts start again with each connection.
+
+    ``received`` is how many credits had arrived at the time of ``requested``; it does
+    not cover credits issued since.
     """
 
     requested: dict[EndpointId, CreditDemand] = field(default_factory=dict)
     received: dict[EndpointId, int] = field(default_factory=dict)
     issued: Counter[EndpointId] = field(default_factory=Counter)
     last_credit: dict[EndpointId, int] = field(default_factory=dict)
-    # The ends of turns lent and not told yet.
+    # Expiry times of credits that are issued but not yet reported.
     unreported: dict[EndpointId, list[Seconds]] = field(default_factory=dict)
 
     def list_outstanding(self, endpoint: EndpointId) -> CreditDemand:
-        """Return what is still wanted at an endpoint, beside what is on its way."""
+        """Return the requested credits at an endpoint, less those in transit."""
         requested = self.requested.get(endpoint)
         if not requested:
             return {}
@@ -76,20 +79,20 @@
         return outstanding
 
     def issue(self, endpoint: EndpointId, number: int, ends: Seconds) -> None:
-        """Note a turn that is lent; it is told with the next update."""
+        """Record an issued credit; it is reported with the next update."""
         self.issued[endpoint] += 1
         self.last_credit[endpoint] = number
         self.unreported.setdefault(endpoint, []).append(ends)
 
     def pop_unreported(self) -> dict[EndpointId, list[Seconds]]:
-        """Return the turns to be told, once."""
+        """Return and clear the credits to be reported."""
         unreported, self.unreported = self.unreported, {}
         return unreported
 
 
 @dataclass(slots=True)
 class _Pool:
-    """The turns that may be lent at one start of an endpoint."""
+    """The credits that can be issued for one incarnation of an endpoint."""
 
     born: int
     bucket: Bucket
@@ -98,10 +101,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Terms:
-    """How turns are lent at a limit.
+    """The terms under which credits are issued for a limit.
 
-    ``rate`` is turns a second, ``depth`` how many may be lent at once, and ``min_level``
-    what must be there before one is lent.
+    ``rate`` is credits per second, ``depth`` how many can be issued at once, and
+    ``min_level`` the bucket level that must be exceeded to issue one.
     """
 
     rate: float
@@ -110,14 +113,14 @@
 
 
 def compute_leased_terms(rate: float) -> Terms:
-    """Return the terms of who holds the lease, at a limit."""
+    """Return the terms of the lease holder for a limit."""
     return Terms(
         rate=compute_issue_rate(rate), depth=compute_depth(rate), min_level=0.0
     )
 
 
 def compute_unleased_terms(rate: float, reachable: int, daemons: int) -> Terms:
-    """Return the terms of who hears some of all daemons, and holds no lease."""
+    """Return the terms of an issuer that reaches some daemons and holds no lease."""
     share = reachable / max(1, reachable, daemons)
     return Terms(
         rate=ISOLATED_FRACTION * rate * share,
@@ -127,28 +130,28 @@
 
 
 def compute_depth(rate: float) -> float:
-    """Return how many turns at a limit may be lent at once.
+    """Return how many credits of a limit can be issued at once.
 
-    More at a low limit, whose calls come unevenly, and as its window leaves room.
+    More for a low limit: its calls arrive unevenly, and its window leaves room for it.
     """
     return max(MIN_DEPTH, WINDOW_BURST - CREDIT_TTL * rate) + DEPTH_TIME * rate
 
 
 def compute_issue_rate(rate: float) -> float:
-    """Return how many turns a second are lent at a limit.
+    """Return how many credits per second are issued for a limit.
 
-    Not all of a high limit, for turns lent over a window, and in the time before it in
-    which they last, may all be used within that window.
+    Less than a high limit: credits issued during a window and in the credit lifetime
+    before it may all be used within that window.
     """
     max_issued = WINDOW * rate + WINDOW_BURST - compute_depth(rate)
     return min(rate, max_issued / (WINDOW + CREDIT_TTL))
 
 
 class CreditIssuer:
-    """Lends turns at some endpoints, and hands on those lent by other leaders.
+    """Issues credits at some endpoints, and hands over those of other leaders.
 
-    ``list_credit_holders`` returns the daemons to lend to at an endpoint; ``local_holder`` is this
-    one, whose turns are given to ``use_local``.
+    ``list_credit_holders`` returns the daemons to issue to at an endpoint.
+    ``local_holder`` is this daemon, whose credits are passed to ``use_local``.
     """
 
     def __init__(
@@ -168,12 +171,12 @@
     def issue(
         self, endpoint: EndpointId, born: int, limit: RateLimitState, terms: Terms
     ) -> Seconds | None:
-        """Lend what may be lent now; return when to look again, none if not."""
+        """Issue what can be issued now; return the delay until a recheck, or None."""
         now = self._clock()
         pool = self._get_pool(endpoint, born, now)
         level = pool.bucket.refill(terms.rate, terms.depth, now)
         if level <= terms.min_level:
-            # Who is next is looked for once there is something to lend.
+            # The next holder is chosen only once there is a credit to issue.
             if now - pool.estimated_at >= ESTIMATE_INTERVAL:
                 self._update_wait(endpoint, pool, limit, terms)
             return MIN_RECHECK_DELAY + (terms.min_level - level) / terms.rate
@@ -184,17 +187,17 @@
     def _get_pool(self, endpoint: EndpointId, born: int, now: Seconds) -> _Pool:
         pool = self._pools.get(endpoint)
         if pool is None or pool.born != born:
-            # Begins empty: another leader may just have lent what there was.
+            # The pool starts empty: another leader may just have issued the credits.
             pool = self._pools[endpoint] = _Pool(born, Bucket(now, 0.0))
         return pool
 
     def _issue_from(
         self, endpoint: EndpointId, bucket: Bucket, terms: Terms, now: Seconds
     ) -> float | None:
-        """Lend what a bucket holds; return what it lacks for the next turn, if any."""
+        """Issue the credits in a bucket; return what lacks for the next, if any."""
         while (next_up := self._choose_next(endpoint)) is not None:
             urgency, holder = next_up
-            # Who does not wait for a turn leaves the others for who will.
+            # Prefetching leaves a reserve for requests that will wait.
             prefetch = urgency >= PREFETCH_URGENCY
             reserve = (
                 max(terms.min_level, terms.depth - 1) if prefetch else terms.min_level
@@ -208,7 +211,7 @@
     def _update_wait(
         self, endpoint: EndpointId, pool: _Pool, limit: RateLimitState, terms: Terms
     ) -> None:
-        """Work out how long one more call waits for its turn, behind those that do."""
+        """Estimate how long one more call waits for a credit, behind those waiting."""
         pool.estimated_at = self._clock()
         outstanding = self.sum_outstanding(endpoint)
         waiting = sum(
@@ -217,18 +220,18 @@
         limit.wait = (1 + waiting) / terms.rate if waiting else 0.0
 
     def hand_over(self, endpoint: EndpointId, ends: list[Seconds]) -> None:
-        """Hand on turns that another leader has lent; what nobody wants stays here."""
+        """Hand over credits issued by another leader; keep those nobody requests."""
         for each in ends:
             next_up = self._choose_next(endpoint)
             self._assign(endpoint, next_up[1] if next_up else self._local_holder, each)
 
     def retain_pools(self, endpoints: Iterable[EndpointId]) -> None:
-        """Drop all pools but those of some endpoints."""
+        """Remove all pools except those of the given endpoints."""
         listed = set(endpoints)
         self._pools = {k: pool for k, pool in self._pools.items() if k in listed}
 
     def _choose_next(self, endpoint: EndpointId) -> tuple[int, CreditHolder] | None:
-        """Return who is next: the most urgent, then who had its last turn first."""
+        """Return the next holder: the most urgent, then the least recently served."""
         waiting = (
             (min(outstanding), holder.last_credit.get(endpoint, 0), number, holder)
             for number, holder in enumerate(self._list_credit_holders(endpoint))
@@ -248,7 +251,7 @@
             holder.issue(endpoint, self._number, ends)
 
     def sum_outstanding(self, endpoint: EndpointId) -> CreditDemand:
-        """Return what all borrowers still want at an endpoint."""
+        """Return the outstanding credits of all holders at an endpoint."""
         total: Counter[int] = Counter()
         for holder in self._list_credit_holders(endpoint):
             total.update(holder.list_outstanding(endpoint))
--- a/src/kestreltally/placing/demand.py
+++ b/src/kestreltally/placing/demand.py
@@ -1,4 +1,4 @@
-"""Which weights are asked for, where, and how much: rates that decay in seconds."""
+"""Demand for weights by data centre: exponentially decaying request rates."""
 
 import math
 from collections import defaultdict
@@ -8,14 +8,15 @@
 from kestreltally.entry.demand import WeightsDemand
 from kestreltally.fleet.model import Seconds, ServiceName, WeightsKey
 
-# Demand may move to other adapters within a few seconds.
+# Time constant of request rates: demand may shift to other adapters within seconds.
 RATE_DECAY_TIME: Final[Seconds] = 5.0
-# Requests that were refused come back within about a second.
+# Time constant of refused requests, which are retried within about a second.
 MISS_DECAY_TIME: Final[Seconds] = 1.2
-# A daemon's count of waiting requests is believed this long.
+# How long a daemon's reported count of waiting requests is valid.
 WAITING_TTL: Final[Seconds] = 0.8
 PRUNE_THRESHOLD: Final = 0.01
-# Rates fade this often: within it they lose 2 in 100, and a leader plans several times.
+# How often rates are decayed: they lose 2 % in between, while a leader plans several
+# times.
 DECAY_INTERVAL: Final[Seconds] = 0.1
 
 DemandKey = tuple[ServiceName, WeightsKey]
@@ -23,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingReport:
-    """What one daemon told of its requests that wait, and when."""
+    """The waiting requests that one daemon reported, and when."""
 
     data_centre: str
     reported: WeightsDemand
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitingTotal:
-    """The requests that wait for some weights, over all daemons."""
+    """The requests waiting for some weights, summed over all daemons."""
 
     count: int
     within_objective: int
@@ -46,9 +47,9 @@
 class WeightsRow:
     """The demand for some weights.
 
-    ``rates`` are requests a second by data centre, ``rate`` their sum, ``missed`` the
-    requests sent back lately, all as of ``at``; ``waiting`` holds what each daemon
-    told. ``waiting_since`` is when the first of them was told.
+    ``rates`` are requests per second by data centre, ``rate`` their sum, ``missed`` the
+    recently refused requests, all as of ``at``. ``waiting`` holds each daemon's report
+    of waiting requests, ``waiting_since`` is the time of the first one.
     """
 
     at: Seconds
@@ -59,7 +60,7 @@
     waiting_since: Seconds = 0.0
 
     def decay(self, now: Seconds) -> None:
-        """Let the rates fade to a moment."""
+        """Decay the rates to the given time."""
         elapsed = max(0.0, now - self.at)
         if elapsed <= 0:
             return
@@ -71,18 +72,18 @@
         self.at = now
 
     def add(self, data_centre: str, arrivals: int) -> None:
-        """Count requests that came in a data centre."""
+        """Count requests that arrived in a data centre."""
         self.rates[data_centre] += arrivals / RATE_DECAY_TIME
         self.rate += arrivals / RATE_DECAY_TIME
 
     def count_waiting(self, now: Seconds) -> int:
-        """Return how many requests wait now."""
+        """Return the number of requests waiting now."""
         if not self.waiting:
             return 0
         return sum(each.waiting for each in self._list_current(now))
 
     def _list_current(self, now: Seconds) -> list[WeightsDemand]:
-        """Return what daemons told so lately that it still holds."""
+        """Return the reports that have not expired."""
         return [
             each.reported
             for each in self.waiting.values()
@@ -90,7 +91,7 @@
         ]
 
     def sum_waiting(self, now: Seconds) -> WaitingTotal:
-        """Return what waits now."""
+        """Return the totals of the requests waiting now."""
         if not self.waiting:
             return NO_WAITING
         reported = self._list_current(now)
@@ -102,9 +103,9 @@
 
 
 class DemandTable:
-    """The demand for all weights that were asked for lately.
+    """The demand for all recently requested weights.
 
-    ``waiting`` are the rows for which some daemon told of requests that wait.
+    ``waiting`` are the rows for which some daemon reported waiting requests.
     """
 
     def __init__(self) -> None:
@@ -115,7 +116,7 @@
     def apply(
         self, vm: str, data_centre: str, reported: WeightsDemand, now: Seconds
     ) -> None:
-        """Take in what a daemon tells."""
+        """Apply a daemon's report."""
         demand_key = (reported.service, reported.key)
         row = self.rows.get(demand_key)
         if row is None:
@@ -132,7 +133,7 @@
             self.waiting.pop(demand_key, None)
 
     def list_significant(self, min_rate: float) -> list[tuple[DemandKey, WeightsRow]]:
-        """Return the rows that may wait, or are asked for more often than so."""
+        """Return the rows with waiting requests or a rate above ``min_rate``."""
         return [
             (demand_key, row)
             for demand_key, row in self.rows.items()
@@ -140,7 +141,7 @@
         ]
 
     def decay(self, now: Seconds) -> None:
-        """Let all rates fade, and forget what nobody asks for; often enough."""
+        """Decay all rates and remove negligible rows, once per ``DECAY_INTERVAL``."""
         if now - self._decayed_at < DECAY_INTERVAL:
             return
         self._decayed_at = now
--- a/src/kestreltally/placing/endpointhealth.py
+++ b/src/kestreltally/placing/endpointhealth.py
@@ -1,7 +1,7 @@
-"""Which endpoints to leave alone for a while, by what all daemons' requests met there.
+"""Quarantines unhealthy endpoints, based on the request outcomes of all daemons.
 
-In a large fleet each daemon sends an endpoint too few requests to judge it: one request
-in some seconds. The leader sums what all report.
+In a large fleet a single daemon sends an endpoint too few requests to evaluate it: one
+in some seconds. The leader therefore sums the outcomes that all daemons report.
 """
 
 import math
@@ -11,25 +11,25 @@
 from kestreltally.entry.outcomes import Outcome
 from kestreltally.fleet.model import EndpointId, Seconds
 
-# What happened longer ago than this hardly counts.
+# Time constant with which outcomes lose their weight.
 OUTCOME_DECAY_TIME: Final[Seconds] = 1.0
-# So many failures of late, and such a part of all requests, make an endpoint suspect.
-# Endpoints that lose some answers in a hundred stay far below.
+# An endpoint is suspect if both its recent failures and their fraction of all requests
+# reach these bounds. Endpoints that lose a few answers in a hundred stay far below.
 MIN_FAILURES: Final = 2.5
 MIN_FAILED_FRACTION: Final = 0.6
-# How long an endpoint is left alone at first; twice as long each time again.
+# The duration of the first quarantine, which doubles each time, and its maximum.
 INITIAL_QUARANTINE: Final[Seconds] = 1.0
 MAX_QUARANTINE: Final[Seconds] = 4.0
-# One that has been sound for this long starts anew.
+# After this long without a quarantine, the next one has the initial duration again.
 QUARANTINE_RESET_DELAY: Final[Seconds] = 10.0
-# Not more than this part of a service's endpoints is spared: beyond it the fault is
-# more likely on the way to them.
+# At most this fraction of a service's endpoints is quarantined: if more fail, the cause
+# is more likely the network path to them.
 MAX_QUARANTINED_FRACTION: Final = 0.5
 
 
 @dataclass(slots=True)
 class EndpointHealth:
-    """What requests met at one endpoint of late, as of ``at``."""
+    """Decayed request outcomes at one endpoint, as of ``at``."""
 
     at: Seconds
     whole: float = 0.0
@@ -38,7 +38,7 @@
     quarantine_count: int = 0
 
     def decay(self, now: Seconds) -> None:
-        """Let what happened fade to a moment."""
+        """Decay the outcomes to the given time."""
         factor = math.exp(-max(0.0, now - self.at) / OUTCOME_DECAY_TIME)
         self.whole *= factor
         self.failed *= factor
@@ -46,25 +46,25 @@
 
 
 class EndpointHealthTable:
-    """The standing of the endpoints that a leader judges."""
+    """The health of the endpoints that a leader evaluates."""
 
     def __init__(self) -> None:
         self._rows: dict[EndpointId, EndpointHealth] = {}
 
     def record(self, outcome: Outcome, now: Seconds) -> None:
-        """Take in how requests ended at an endpoint."""
+        """Record outcomes of requests at an endpoint."""
         row = self._rows.setdefault(outcome.endpoint, EndpointHealth(now))
         row.decay(now)
         row.whole += outcome.whole
         row.failed += outcome.failed
 
     def is_quarantined(self, endpoint: EndpointId, now: Seconds) -> bool:
-        """Tell whether an endpoint is to be left alone still."""
+        """Return whether an endpoint is still quarantined."""
         row = self._rows.get(endpoint)
         return row is not None and now < row.quarantined_until
 
     def is_suspect(self, endpoint: EndpointId, now: Seconds) -> bool:
-        """Tell whether most requests of late failed at an endpoint."""
+        """Return whether most recent requests failed at an endpoint."""
         row = self._rows.get(endpoint)
         if row is None:
             return False
@@ -74,17 +74,17 @@
         return row.failed >= MIN_FAILED_FRACTION * (row.failed + row.whole)
 
     def quarantine(self, endpoint: EndpointId, now: Seconds) -> Seconds:
-        """Leave an endpoint alone for a while; return for how long."""
+        """Quarantine an endpoint; return the duration."""
         row = self._rows.setdefault(endpoint, EndpointHealth(now))
         if now - row.quarantined_until > QUARANTINE_RESET_DELAY:
             row.quarantine_count = 0
         pause = min(MAX_QUARANTINE, INITIAL_QUARANTINE * 2.0**row.quarantine_count)
         row.quarantined_until = now + pause
         row.quarantine_count += 1
-        # Only what happens after the pause counts then.
+        # Only outcomes after the quarantine count for the next evaluation.
         row.whole = row.failed = 0.0
         return pause
 
     def remove(self, endpoint: EndpointId) -> None:
-        """Drop an endpoint that is gone."""
+        """Remove an endpoint that no longer exists."""
         self._rows.pop(endpoint, None)
--- a/src/kestreltally/placing/enginestate.py
+++ b/src/kestreltally/placing/enginestate.py
@@ -1,4 +1,4 @@
-"""The leader's book of each engine: what it holds, what is on its way, what is sure."""
+"""The leader's state of each engine: weights held, pending loads and unloads."""
 
 import asyncio
 from dataclasses import dataclass, field, replace
@@ -13,15 +13,15 @@
 )
 from kestreltally.platform.engines import EngineReport
 
-# An unload waits for the runs that use the adapter; those last some seconds.
-# An engine that has not answered so often in a row is held to be down.
+# An engine that leaves this many calls in a row unanswered is considered down.
 MAX_UNANSWERED_CALLS: Final = 2
+# An unload waits for the runs that use the adapter, which last some seconds.
 UNLOAD_TIMEOUT: Final[Seconds] = 8.0
 
 
 @dataclass(frozen=True, slots=True)
 class PendingLoad:
-    """A load that an engine has taken: the engine's count of orders just after."""
+    """A load that an engine has accepted, with its order count just afterwards."""
 
     sequence: int
     ordered_at: Seconds
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingUnload:
-    """An unload that was ordered: the engine's count of orders if it was taken."""
+    """An unload that was ordered, with the engine's order count if it was accepted."""
 
     sequence: int
     ordered_at: Seconds
@@ -37,10 +37,10 @@
 
 @dataclass(slots=True)
 class EngineState:
-    """What the leader knows of one engine by its orders and its reports.
+    """What the leader knows of one engine from its orders and the engine's reports.
 
-    ``sequence`` is the engine's count of orders as far as known; none means that a
-    report must come before any order. A place counts as taken until it is surely
+    ``sequence`` is the engine's last known order count; None means that a report is
+    required before the next order. A place counts as occupied until it is known to be
     free.
     """
 
@@ -59,9 +59,10 @@
     ordered_at: Seconds = 0.0
 
     def apply_report(self, report: EngineReport, now: Seconds) -> None:
-        """Take a report in; one older than the last order only confirms loads.
+        """Apply a report; one older than the last order only confirms loads.
 
-        One of an earlier life of the engine, which had other counts, says nothing.
+        A report of an earlier incarnation of the engine is ignored: its order counts
+        are not comparable.
         """
         self.read_at = now
         if is_other_incarnation(self.endpoint.born, report.born):
@@ -78,7 +79,7 @@
             key: self.incoming.get(key, PendingLoad(report.sequence, now))
             for key in report.loading
         }
-        # Reports name the adapters on their way, but not a model.
+        # Reports list adapters that are loading, but not a loading base model.
         for key, load in self.incoming.items():
             if not key.adapter and key not in report.weights:
                 loading[key] = load
@@ -87,7 +88,7 @@
         self.held_since = {k: self.held_since.get(k, now) for k in report.weights}
 
     def start_incarnation(self, born: int) -> None:
-        """Start anew with an engine that has, under the same id."""
+        """Reset the state for a new incarnation of the engine under the same id."""
         self.endpoint = replace(self.endpoint, born=born, weights={})
         self.weights = {}
         self.held_since = {}
@@ -96,7 +97,7 @@
         self.sequence = None
 
     def _prune_unloading(self, report: EngineReport, now: Seconds) -> None:
-        """Use again what was to be unloaded, if the engine did not take the order."""
+        """Drop pending unloads that are done, were not accepted or have timed out."""
         self.unloading = {
             key: unload
             for key, unload in self.unloading.items()
@@ -106,7 +107,7 @@
         }
 
     def start_unload(self, key: WeightsKey, now: Seconds) -> None:
-        """Note that an adapter is to make way: it gets no more requests."""
+        """Record that an adapter is being evicted: it gets no more requests."""
         self.unloading[key] = PendingUnload((self.sequence or 0) + 1, now)
 
     def _confirm_loads(self, report: EngineReport, now: Seconds) -> None:
@@ -116,51 +117,52 @@
                 self.record_loaded(key, held, now)
 
     def record_loaded(self, key: WeightsKey, version: int, now: Seconds) -> None:
-        """Note that a load has ended well."""
+        """Record that a load has succeeded."""
         self.incoming.pop(key, None)
         self.weights[key] = version
         self.held_since[key] = now
 
     def record_unloaded(self, key: WeightsKey) -> None:
-        """Note that an engine has confirmed an unload."""
+        """Record that an engine has confirmed an unload."""
         self.weights.pop(key, None)
         self.held_since.pop(key, None)
         self.unloading.pop(key, None)
 
     def count_occupied(self) -> int:
-        """Return how many adapter places are or may be taken."""
+        """Return how many adapter places are, or may be, occupied."""
         held = {key for key in self.weights if key.adapter}
         coming = {key for key in self.incoming if key.adapter}
         return len(held | coming | self.unloading.keys())
 
     def count_free(self, spec: EngineSpec) -> int:
-        """Return how many adapter places are surely free."""
+        """Return how many adapter places are known to be free."""
         return max(0, spec.adapter_places - self.count_occupied())
 
     def require_report(self, now: Seconds) -> None:
-        """Give no more orders until a report written from now on has been read."""
+        """Block orders until a report written after this moment has been read."""
         self.sequence = None
         self.read_at = now
 
     def has_model(self, model: str) -> bool:
-        """Tell whether the engine holds a base model."""
+        """Return whether the engine holds a given base model."""
         return WeightsKey(model) in self.weights
 
     @property
     def has_any_model(self) -> bool:
-        """Tell whether the engine holds some base model."""
+        """Return whether the engine holds any base model."""
         return any(not key.adapter for key in self.weights)
 
     def make_row(self) -> Endpoint:
-        """Return the engine as the other daemons should see it.
+        """Return the engine's entry for the other daemons.
 
-        What a silent engine holds is to be loaded elsewhere, so it shows nothing.
+        An engine that does not answer is shown without weights, so that these are
+        loaded elsewhere.
         """
         if self.unanswered_calls >= MAX_UNANSWERED_CALLS:
             return replace(
                 self.endpoint, weights={}, loading=frozenset(), spared=self.quarantined
             )
-        # What is replaced refuses requests until the new version is there.
+        # Requests for weights that are being replaced are refused until the load ends.
         unavailable = self.unloading.keys() | self.incoming.keys()
         usable = {k: v for k, v in self.weights.items() if k not in unavailable}
         return replace(
--- a/src/kestreltally/placing/handover.py
+++ b/src/kestreltally/placing/handover.py
@@ -1,8 +1,8 @@
-"""What a leader asks leaders of other data centres to bring, and why.
+"""Hands over loads of adapters to leaders of other data centres.
 
-An engine that keeps a copy of an adapter loads it ten times as quickly as another, at
-no price, so a leader of such an engine is asked first, for a moment. Where this
-leader's engines have no place left, a leader that has one is asked.
+An engine that keeps a copy of an adapter loads it ten times as fast as another engine
+and at no cost, so a leader of such an engine is asked first, for a short time. If this
+leader's engines have no free place, a leader with free capacity is asked.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -13,26 +13,27 @@
 from kestreltally.fleet.tables import Fleet
 from kestreltally.placing.demand import DemandKey, DemandTable, WeightsRow
 
-# How long another leader may take to bring what its engines have had lately.
+# How long another leader may take to load an adapter of which its engines keep a copy.
 HANDOVER_TIMEOUT: Final[Seconds] = 0.2
-# How long a leader with room is given: the word and the row cross in some 0.1 s, and
-# a load lasts a quarter of a second.
+# How long a leader with free capacity may take: the request and the resulting row take
+# about 0.1 s on the way, and a load takes a quarter of a second.
 FORWARD_TIMEOUT: Final[Seconds] = 0.6
 
 
 @dataclass(frozen=True, slots=True)
 class Forwarded:
-    """Weights that another leader is asked for until a moment."""
+    """Weights that another leader is asked to load, with the deadline."""
 
     to: str
     until: Seconds
 
 
 class Handover:
-    """The weights asked for here that leaders of other data centres are to bring.
+    """The requested weights that leaders of other data centres are asked to load.
 
-    ``get_free_capacity`` tells how many adapters each leader that is heard could take now,
-    ``can_hand_over`` whether one brings adapters quickly; ``expedite`` has one told at once.
+    ``get_free_capacity`` returns how many adapters each reachable leader could take,
+    ``can_load_quickly`` whether a leader loads adapters quickly; ``expedite`` has the
+    request sent to a leader at once.
     """
 
     def __init__(self, fleet: Fleet, demand: DemandTable) -> None:
@@ -40,16 +41,16 @@
         self._demand = demand
         self._copy_sources: dict[DemandKey, str] = {}
         self._forwarded: dict[DemandKey, Forwarded] = {}
-        self.can_hand_over: Callable[[str], bool] = lambda _: False
+        self.can_load_quickly: Callable[[str], bool] = lambda _: False
         self.get_free_capacity: Callable[[], Mapping[str, int]] = dict
         self.expedite: Callable[[str], None] = lambda _: None
 
     def is_handed_over(self, demand_key: DemandKey) -> bool:
-        """Tell whether another leader is asked for some weights."""
+        """Return whether another leader is asked to load some weights."""
         return demand_key in self._copy_sources or demand_key in self._forwarded
 
     def list_assigned(self, data_centre: str) -> list[DemandKey]:
-        """Return what the leader of a data centre is asked for."""
+        """Return the weights that the leader of a data centre is asked to load."""
         from_copies = [
             demand_key
             for demand_key, source in self._copy_sources.items()
@@ -59,7 +60,7 @@
         return [*from_copies, *forwarded]
 
     def renew(self, led_data_centres: set[str], now: Seconds) -> None:
-        """Ask again for what is still missing, of who had it last."""
+        """Update the requests: renew missing ones, drop expired and loaded ones."""
         previous, self._copy_sources = self._copy_sources, {}
         for demand_key, row in self._demand.waiting.items():
             if not row.count_waiting(now) or now - row.waiting_since > HANDOVER_TIMEOUT:
@@ -81,14 +82,15 @@
     def _choose_copy_source(
         self, demand_key: DemandKey, led_data_centres: set[str], previous: str | None
     ) -> str | None:
-        """Return whose engines keep a copy of some weights, unless own ones do.
+        """Return a data centre whose engines keep a copy, or None if a led engine does.
 
-        Of several that can bring it the one asked before goes on, else that with room.
+        Of several candidates, the one asked previously is preferred, then the one with
+        the most free capacity.
         """
         holders = {each.data_centre for each in self._fleet.list_copies(*demand_key)}
         if holders & led_data_centres:
             return None
-        capable = [name for name in holders if self.can_hand_over(name)]
+        capable = [name for name in holders if self.can_load_quickly(name)]
         if previous in capable:
             return previous
         if len(capable) < 2:
@@ -99,7 +101,7 @@
     def forward(
         self, unplaced: Iterable[DemandKey], led_data_centres: set[str], now: Seconds
     ) -> int:
-        """Ask leaders with room for what has no place here; return for how many."""
+        """Ask leaders with free capacity to load adapters; return for how many."""
         free_capacity = dict(self.get_free_capacity())
         for forwarded in self._forwarded.values():
             if forwarded.to in free_capacity:
@@ -123,7 +125,10 @@
 
 
 def _has_local_waiters(row: WeightsRow | None, led_data_centres: set[str]) -> bool:
-    """Tell whether own daemons wait: what was passed on to here is not passed on."""
+    """Return whether daemons of led data centres wait.
+
+    Demand that was forwarded to this leader is not forwarded again.
+    """
     return row is not None and any(
         each.data_centre in led_data_centres for each in row.waiting.values()
     )
--- a/src/kestreltally/placing/leader.py
+++ b/src/kestreltally/placing/leader.py
@@ -1,4 +1,4 @@
-"""The leader: keeps the books of its engines, plans loads and has them ordered."""
+"""The leader: tracks the state of its engines, plans loads and orders them."""
 
 import asyncio
 import logging
@@ -44,26 +44,26 @@
 LOG = logging.getLogger("kestreltally.leader")
 
 TICK: Final[Seconds] = 0.04
-# Without a lease there is nothing to plan until one begins, which is told.
+# The tick without a lease; acquiring one wakes the loop at once.
 IDLE_TICK: Final[Seconds] = 1.0
-# New demand is looked at at once, but not more often than this.
+# New demand triggers planning at once, but not more often than this.
 MIN_TICK: Final[Seconds] = 0.01
-# Of the four adapters that may be on their way to one engine at once, one place is kept
-# for what the engine has a copy of and brings in some 25 ms.
+# Limit of concurrent adapter loads per engine. One of the four is reserved for adapters
+# of which the engine keeps a copy: these load in about 25 ms.
 MAX_INCOMING: Final = 4
 MAX_INCOMING_COLD: Final = 3
 REPORT_INTERVAL: Final[Seconds] = 0.1
-# A listing of an engine's weights that differs from its book is checked when the last
-# order is older than this: two heartbeats.
+# If an engine's own listing of its weights differs from the leader's state, a report is
+# read once the last order is older than this: two heartbeats.
 LISTING_CHECK_DELAY: Final[Seconds] = 3.0
-# The wait that is told while no lease that is held here allows orders.
+# The load wait that is reported while none of the held leases allows orders.
 UNKNOWN_LOAD_WAIT: Final[Seconds] = 2.0
-# What it takes to have a leader of another data centre load an adapter instead.
+# The extra time if a leader of another data centre loads an adapter instead.
 FORWARD_TIME: Final[Seconds] = 0.1
 
 
 class Leader:
-    """Plans and orders for the engines of the data centres whose leases are held."""
+    """Plans and orders loads on the engines of data centres whose leases are held."""
 
     def __init__(
         self,
@@ -92,32 +92,33 @@
         self.engines: dict[EndpointId, EngineState] = {}
         self.demand = DemandTable()
         self.occupancy = EMPTY
-        # What other leaders tell that a load takes there; none when none is heard.
+        # The load time that other leaders report; None if none can be reached.
         self.get_remote_wait: Callable[[], Seconds | None] = lambda: None
         self._load_limiters: dict[ServiceName, LoadLimiter] = {}
         self.handover = Handover(fleet, self.demand)
         self._led_data_centres: set[str] = set()
         self._wake = asyncio.Event()
         self.missing = 0
-        # How many adapters the engines led here could take, and beyond what is missing.
+        # The adapters that the led engines could take: what remains after the missing
+        # ones, and in all.
         self.free_capacity = 0
         self.available_places = 0
-        # Which adapters on which engines any daemon uses now.
+        # Returns the adapters in use by any daemon, with their engines.
         self.list_uses: Callable[[], set[tuple[EndpointId, WeightsKey]]] = set
         self.endpoint_health = EndpointHealthTable()
         self.prefill_times = PrefillTimeTable()
 
     @property
     def load_time(self) -> Seconds:
-        """Return how long a load from the weight store lately took."""
+        """Return the recent mean time of a load from the weight store."""
         return self._loader.load_time
 
     def count_loads(self) -> dict[str, float]:
-        """Return how many adapters this leader had loaded, by where they came from."""
+        """Return the number of adapters that this leader loaded, by origin."""
         return {each.value: float(self._loader.origins[each]) for each in LoadOrigin}
 
     def put_endpoint(self, endpoint: Endpoint) -> None:
-        """Take in an endpoint's entry of the store."""
+        """Apply an endpoint's entry from the store."""
         endpoint = self._fleet.notices.apply_to(endpoint)
         state = self.engines.get(endpoint.id)
         if state is not None and is_other_incarnation(
@@ -125,7 +126,7 @@
         ):
             if endpoint.born < state.endpoint.born:
                 return
-            # What was loaded, ordered and counted before is no longer so.
+            # Loads, orders and counts of the former incarnation no longer apply.
             self.drop_endpoint(endpoint.id)
             state = None
         if state is None:
@@ -136,14 +137,14 @@
         self._publish(state.make_row())
 
     def _check_listing(self, state: EngineState) -> None:
-        """Read the engine's report when its own listing differs from the book."""
+        """Require a report if the engine's own listing differs from the known state."""
         now = self._clock()
         settled = now - state.ordered_at > LISTING_CHECK_DELAY and not state.incoming
         if settled and state.endpoint.weights.keys() != state.weights.keys():
             state.require_report(now)
 
     def record_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
-        """Take in that an engine refused a request for want of its weights."""
+        """Record that an engine refused a request because it lacks the weights."""
         state = self.engines.get(endpoint)
         if state is not None and key in state.weights and key not in state.incoming:
             log_decision(
@@ -152,7 +153,7 @@
             state.require_report(self._clock())
 
     def record_notice(self, endpoint: EndpointId) -> None:
-        """Take in that an endpoint has said something of itself."""
+        """Apply a new notice of an endpoint."""
         state = self.engines.get(endpoint)
         if state is not None:
             state.endpoint = self._fleet.notices.apply_to(state.endpoint)
@@ -160,14 +161,14 @@
         self.wake()
 
     def drop_endpoint(self, endpoint: EndpointId) -> None:
-        """Forget an endpoint that is gone."""
+        """Remove an endpoint that no longer exists."""
         self.engines.pop(endpoint, None)
         self.endpoint_health.remove(endpoint)
 
     def apply_demand(
         self, vm: str, data_centre: str, reported: Iterable[WeightsDemand]
     ) -> None:
-        """Take in what a daemon tells of its requests."""
+        """Apply the demand that a daemon reports."""
         now = self._clock()
         for each in reported:
             self.demand.apply(vm, data_centre, each, now)
@@ -176,20 +177,20 @@
 
     @property
     def is_over_capacity(self) -> bool:
-        """Tell whether something waits that no engine has a place for."""
+        """Return whether requests wait for adapters that no engine has a place for."""
         return self.missing > 0 and not self.free_capacity
 
     def wake(self) -> None:
-        """Plan at once."""
+        """Trigger planning without waiting for the next tick."""
         self._wake.set()
 
     def compute_order_wait(self) -> Seconds | None:
-        """Return how long until some engine may be given an order; none: unknown."""
+        """Return the time until some lease allows orders; None if unknown."""
         waits = (lease.compute_order_wait() for lease in self._leases.values())
         return min((wait for wait in waits if wait is not None), default=None)
 
     def estimate_load_wait(self) -> Seconds:
-        """Return how long it takes from now until an adapter asked for now is there."""
+        """Return the expected time until an adapter requested now is loaded."""
         order_wait = self.compute_order_wait()
         local_wait = (
             UNKNOWN_LOAD_WAIT
@@ -204,9 +205,9 @@
         )
 
     def _predict_load_time(self) -> Seconds:
-        """Return how long a load takes with those before it, and until a place frees.
+        """Return the expected time of a load, with queueing and waiting for a place.
 
-        Places free as fast as loads have ended of late.
+        Places are assumed to become free at the recent rate of completed loads.
         """
         engines = max(1, len(self.engines))
         batches = 1 + self.missing / (MAX_INCOMING_COLD * engines)
@@ -216,7 +217,7 @@
         )
 
     def list_unmet(self) -> list[WeightsDemand]:
-        """Return what is asked for and held nowhere, for a leader that may order."""
+        """Return waiting demand that no engine holds, for a leader that can order."""
         now = self._clock()
         return [
             make_waiting(service, key, row.count_waiting(now))
@@ -225,12 +226,12 @@
         ]
 
     def list_handed_over(self, data_centre: str) -> list[WeightsDemand]:
-        """Return what another leader is asked for."""
+        """Return the demand that is handed over to another leader."""
         handed_over = self.handover.list_assigned(data_centre)
         return [make_waiting(service, key, 1) for service, key in handed_over]
 
     def _sync_leases(self) -> None:
-        """Take up the engines of leases newly held, and let go of those lost."""
+        """Add the engines of newly held leases and remove those of lost ones."""
         led_data_centres = {name for name, lease in self._leases.items() if lease.leads}
         for endpoint in self._fleet.endpoints.values():
             lease = self._get_lease(endpoint)
@@ -243,7 +244,7 @@
         self._led_data_centres = led_data_centres
 
     async def run(self) -> None:
-        """Plan for ever, while a lease is held."""
+        """Plan forever; idle while no lease is held."""
         while True:
             if not any(lease.leads for lease in self._leases.values()):
                 self._led_data_centres = set()
@@ -258,7 +259,7 @@
                 self._step()
 
     async def _wait_for_demand(self) -> None:
-        """Wait for the next tick, or for a request that waits."""
+        """Wait for the next tick or for a waiting request."""
         await asyncio.sleep(MIN_TICK)
         await wait_at_most(self._wake, TICK - MIN_TICK)
         self._wake.clear()
@@ -279,7 +280,7 @@
                 self._step_service(service.name, service.engine, now)
 
     def _quarantine_unhealthy(self, now: Seconds) -> None:
-        """Have endpoints left alone where most requests fail, and tried again later."""
+        """Quarantine endpoints at which most requests fail; try them again later."""
         for name, state in self.engines.items():
             quarantined = self.endpoint_health.is_quarantined(name, now)
             if not quarantined and self.endpoint_health.is_suspect(name, now):
@@ -294,7 +295,7 @@
                 self._publish(state.make_row())
 
     def _can_quarantine(self, service: ServiceName) -> bool:
-        """Tell whether one more endpoint of a service may be left alone."""
+        """Return whether one more endpoint of a service can be quarantined."""
         service_endpoints = [
             e for e in self._fleet.endpoints.values() if e.service == service
         ]
@@ -336,7 +337,7 @@
         return bool(state.unloading) and since >= REPORT_INTERVAL
 
     def _accepts_adapters(self, state: EngineState, now: Seconds) -> bool:
-        """Tell whether an engine takes adapters, if not at this very moment."""
+        """Return whether an engine accepts adapters, if not at this very moment."""
         return (
             state.sequence is not None
             and all(key.adapter for key in state.incoming)
@@ -347,7 +348,7 @@
         )
 
     def _can_take_order(self, state: EngineState, now: Seconds) -> bool:
-        """Tell whether an engine may be given an order now."""
+        """Return whether an engine can be given an order now."""
         return (
             self._accepts_adapters(state, now)
             and not state.busy
@@ -358,7 +359,7 @@
     def _order_models(
         self, engines: list[EngineState], spec: EngineSpec, limiter: LoadLimiter
     ) -> list[EngineState]:
-        """Have engines without any base model load one; return the others."""
+        """Order a base model for engines that have none; return the other engines."""
         ready = []
         for state in engines:
             if state.has_any_model:
@@ -370,7 +371,7 @@
         return ready
 
     def _choose_model(self, engines: list[EngineState], spec: EngineSpec) -> str:
-        """Return the model that the fewest engines hold."""
+        """Return the model held by the fewest engines."""
         counts = {each.name: 0 for each in spec.models}
         for state in engines:
             for key in (*state.weights, *state.incoming):
@@ -381,9 +382,10 @@
     def _order_versions(
         self, engines: list[EngineState], limiter: LoadLimiter
     ) -> list[EngineState]:
-        """Have what is outdated replaced; return the engines left.
+        """Order replacements of outdated versions; return the remaining engines.
 
-        A model is replaced on one engine at a time: it serves nothing meanwhile.
+        A model is replaced on one engine at a time, as the engine serves no requests
+        during the load.
         """
         remaining = []
         model_busy = any(
@@ -456,7 +458,7 @@
         requested: list[RequestedAdapter],
         now: Seconds,
     ) -> None:
-        """Ask other leaders for what the engines led here have no place for."""
+        """Forward adapters for which the led engines have no place to other leaders."""
         missing = sorted(
             (w for w in requested if w.waiting and not w.holders and not w.loading),
             key=score_missing,
@@ -471,5 +473,5 @@
 
 
 def make_waiting(service: ServiceName, key: WeightsKey, count: int) -> WeightsDemand:
-    """Return the demand of requests that wait, for another leader."""
+    """Return the demand of waiting requests, as reported to another leader."""
     return WeightsDemand(service, key, arrivals=0, waiting=count, missed=0)
--- a/src/kestreltally/placing/lease.py
+++ b/src/kestreltally/placing/lease.py
@@ -1,17 +1,17 @@
 """The lease under which one daemon at a time gives orders to a group of engines.
 
-It is one object of the store, written by conditional updates. A holder gives orders
-only while its last renewal that the store answered was sent less than ``VALIDITY``
-ago by the steady clock. A successor's write proves that the former holder did not
-renew since the revision that it replaces, so the former holder's last order left
-within ``VALIDITY`` of the moment when that revision was first seen; the successor
-waits that out, and the operators' least time between two holders. Engines here check
-no fences, so nothing else stands between two holders.
-
-The store may come back from a copy of some seconds ago, and lose a lease that was taken
-meanwhile. So numbers of a lease begin anew above all of older eras, what was written in
-an older era proves nothing of who held the lease last, and only a holder whose renewals
-were answered so lately that nobody can have taken it goes on at once.
+The lease is one object in the store, written by conditional updates. A holder gives
+orders only while its last successful renewal was sent less than ``VALIDITY`` ago on the
+monotonic clock. A successor's write proves that the former holder has not renewed since
+the replaced revision, so the former holder's last order left within ``VALIDITY`` of the
+first observation of that revision. The successor waits for that time and for the
+operators' minimum gap between two holders. Engines do not check fences, so nothing else
+separates two holders.
+
+The store may be restored from a backup some seconds old and lose a lease that was taken
+since. Therefore the fences of a new era start above all fences of older eras, a record
+of an older era proves nothing about the last holder, and only a holder whose last
+renewal is so recent that nobody can have taken the lease continues at once.
 
 After Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for
 distributed file cache consistency", 1989.
@@ -43,50 +43,52 @@
 
 RENEW_INTERVAL: Final[Seconds] = 1.0
 RENEW_RETRY: Final[Seconds] = 0.2
-# Outlasts the store's usual outages (3 to 5 s were played), in which nobody could take
-# over. A holder that is lost costs its successor as much longer a wait, but other data
-# centres' leaders bring adapters meanwhile, and a restart on the same VM need not wait.
+# Longer than the usual outages of the store (3 to 5 s in simulations), during which
+# nobody could take over. After the loss of a holder its successor waits longer by as
+# much, but leaders of other data centres load adapters in that time, and a restart on
+# the same VM does not wait.
 VALIDITY: Final[Seconds] = 6.0
-# An unchanged lease may be taken after this. Sooner would gain nothing: a successor
-# waits for the validity's end in any case.
+# An unchanged lease can be taken after this. A shorter delay would gain nothing, as a
+# successor waits for the end of the validity in any case.
 TAKEOVER_DELAY: Final[Seconds] = 5.0
 TAKEOVER_JITTER: Final[Seconds] = 0.4
-# A lease that was released is left that long to a daemon restarted on the same VM: the
-# time that others must keep apart runs meanwhile.
+# For this long a released lease is left to a daemon restarted on the same VM. The gap
+# that other daemons must keep elapses in the same time.
 RELEASED_WAIT: Final[Seconds] = 2.8
-# Daemons of other data centres leave a lease that long to those of its own.
+# For this long, daemons of other data centres leave a lease to those of its own.
 REMOTE_WAIT: Final[Seconds] = 3.0
-# A leader of 26 daemons and 15 engines used 0.33 cores and, before frames were
-# deflated, 8 Mbit/s, on a calm day of 79 daemons in three data centres. A machine with
-# less than about twice that leaves the lease to stronger ones for WEAK_PATIENCE.
+# Under normal load of 79 daemons in three data centres, a leader of 26 daemons and 15
+# engines used 0.33 cores and 8 Mbit/s without frame compression. A machine with less
+# than about twice that leaves the lease to stronger ones for ``WEAK_WAIT``.
 MIN_LEADER_CORES: Final = 0.66
 MIN_LEADER_MBPS: Final = 20.0
 WEAK_WAIT: Final[Seconds] = 0.8
-# A holder resigns when another daemon had an answer of the store so long after its own
-# last one, and a renewal sent since has failed too: then it alone is cut off. Its word
-# lets a successor begin its wait at once. A renewal that is swallowed is known to fail
-# after 0.6 s and the next one sent 0.2 s later, so this ends within the validity. With
-# no renewal tried since, two of five holders resigned as a store came back that had
-# been away from all for 8 s: their engines got no orders for 1.7 s and more.
+# A holder resigns if another daemon got an answer from the store this long after the
+# holder's own last one, and a renewal sent since has failed too: then only the holder
+# is cut off. The announcement lets a successor start its wait at once. An unanswered
+# renewal times out after 0.6 s and the next one is sent 0.2 s later, so this ends
+# within the validity. Without the failed renewal as a condition, two of five holders
+# resigned when a store recovered that had been unreachable for all for 8 s, and their
+# engines got no orders for 1.7 s or more.
 RESIGN_DELAY: Final[Seconds] = 4.5
 RESIGNED_DURATION: Final[Seconds] = 3.0
-# How long an order may be on its way to an engine.
+# How long an order may be in transit to an engine.
 MAX_ORDER_TRANSIT: Final[Seconds] = 0.4
-# Orders stop this long before the validity ends.
+# Orders stop this long before the end of the validity.
 VALIDITY_MARGIN: Final[Seconds] = 0.1
 NEVER: Final[Seconds] = float("-inf")
-# Numbers of a lease in one era: more than a taking each second would use in 12 days.
+# Fences per era: enough for one takeover per second over 12 days.
 FENCES_PER_ERA: Final = 2**20
 
 
 def compute_weak_wait(strength: MachineCapacity) -> Seconds:
-    """Return how long a machine leaves a free lease to stronger ones."""
+    """Return how long a machine leaves a free lease to stronger machines."""
     weak = strength.cores < MIN_LEADER_CORES or strength.link_mbps < MIN_LEADER_MBPS
     return WEAK_WAIT if weak else 0.0
 
 
 class Lease:
-    """This daemon's part in who leads the engines of one data centre."""
+    """This daemon's view of the lease for the engines of one data centre."""
 
     def __init__(
         self,
@@ -113,53 +115,53 @@
         self._valid_until: Seconds = float("-inf")
         self._orders_from: Seconds = float("inf")
         self._renewed_at: Seconds = float("-inf")
-        # When the last renewal that failed was sent, and since when others have had
-        # answers that this holder has not.
+        # When the last failed renewal was sent, and since when other daemons have had
+        # answers while this holder has not.
         self._failed_sent_at: Seconds = float("-inf")
         self._behind_since: Seconds | None = None
         self._not_before: Seconds = float("-inf")
         self._resigned: dict[int, Seconds] = {}
         self.leads = False
         self._acquired = asyncio.Event()
-        # Called when this daemon begins to hold it.
+        # Called when this daemon becomes the holder.
         self.record_start: Callable[[], None] = lambda: None
 
     @property
     def fence(self) -> int:
-        """Return the number of the lease as it was last known."""
+        """Return the last known fence of the lease."""
         return self.record.fence if self.record is not None else 0
 
     def is_valid(self) -> bool:
-        """Tell whether the lease is held at this very moment, by its record's time."""
+        """Return whether this daemon holds the lease at this moment."""
         return self.leads and self._clock() < self._valid_until - VALIDITY_MARGIN
 
     def is_sole_holder(self) -> bool:
-        """Tell whether the lease is held, and no former holder's can hold any more."""
+        """Return whether the lease is held and no former holder's validity remains."""
         last = self._orders_from - self._holder_gap - MAX_ORDER_TRANSIT
         return self.is_valid() and last <= self._clock()
 
     def can_order(self) -> bool:
-        """Tell whether an order may leave at this very moment."""
+        """Return whether an order can be sent at this moment."""
         return self.is_valid() and self._orders_from <= self._clock()
 
     def compute_order_wait(self) -> Seconds | None:
-        """Return how long until orders may be given, none where that is not known.
+        """Return the time until orders are allowed; None if unknown.
 
-        A holder whose lease is over may give none until the store answers it, however
-        long that takes.
+        A holder whose lease has expired can give no orders until the store answers,
+        however long that takes.
         """
         return self._compute_order_wait() if self.is_valid() else None
 
     def _compute_order_wait(self) -> Seconds:
-        """Return how long a holder still has to keep apart from a former one."""
+        """Return how long this holder still has to wait for a former holder."""
         return max(0.0, self._orders_from - self._clock())
 
     def record_revision(self, revision: Revision) -> None:
-        """Note that the leader's feed names a revision of the lease."""
+        """Record a revision of the lease that the leader's feed names."""
         self._observe(revision)
 
     def record_resigned(self, fence: int) -> None:
-        """Note that the holder of a number has said that it gives no more orders."""
+        """Record that the holder of a fence has announced its resignation."""
         self._resigned.setdefault(fence, self._clock())
 
     def _observe(self, revision: Revision) -> ObservedRevision:
@@ -169,12 +171,12 @@
         return observed
 
     async def run(self) -> None:
-        """Renew the lease for ever, while it is held."""
+        """Renew the lease forever, while it is held."""
         while True:
             if not self.leads:
                 self._acquired.clear()
                 await self._acquired.wait()
-                # What was written as it began holds as long as a renewal.
+                # The write of the takeover is valid as long as a renewal.
                 await asyncio.sleep(RENEW_INTERVAL)
                 continue
             sent_at = self._clock()
@@ -193,7 +195,7 @@
     async def _renew(self) -> None:
         record, observed = self.record, self.observed
         if record is None or observed is None:
-            self._lose("nothing held")
+            self._lose("no record of a held lease")
             return
         sent_at = self._clock()
         updated = replace(
@@ -216,12 +218,12 @@
             await asyncio.sleep(RENEW_INTERVAL)
 
     async def _continue_in_era(self) -> None:
-        """Hold the lease in a new era of the store, if nobody can have taken it."""
+        """Continue in a new era of the store, if nobody can have taken the lease."""
         stored = await self._store.read(LEASE_KIND, self.data_centre)
         found = LeaseRecord.decode(stored.content) if stored is not None else None
         record, sent_at = self.record, self._clock()
         if record is None or not self._can_continue(record, found, sent_at):
-            self._lose("the store came back from a copy")
+            self._lose("store restored from a backup")
             return
         updated = replace(record, quiet=self._compute_order_wait(), era=self._store.era)
         try:
@@ -233,7 +235,7 @@
             else:
                 written = await self._write(stored.revision, updated)
         except Conflict:
-            # Looked at once more: it may be an own write whose answer was lost.
+            # Retried, as it may be this daemon's own write whose answer was lost.
             await asyncio.sleep(RENEW_RETRY)
             return
         if self.leads:
@@ -242,10 +244,10 @@
     def _can_continue(
         self, record: LeaseRecord, found: LeaseRecord | None, now: Seconds
     ) -> bool:
-        """Tell whether nobody else can hold the lease after the store's return.
+        """Return whether nobody else can hold the lease after a restore of the store.
 
-        Who took it in the seconds that are lost had found it unchanged for
-        ``TAKEOVER_DELAY``: not so where a renewal sent since was answered.
+        A daemon that took it in the lost seconds had observed it unchanged for
+        ``TAKEOVER_DELAY``, which a renewal answered since rules out.
         """
         renewed_at = self._valid_until - VALIDITY
         if not self.leads or now >= renewed_at + TAKEOVER_DELAY:
@@ -255,13 +257,13 @@
         return found.era < self._store.era and found.fence < record.fence
 
     def _resolve_conflict(self, conflict: Conflict, updated: LeaseRecord) -> None:
-        """Tell an own write whose answer was lost from another daemon's."""
+        """Distinguish an own write whose answer was lost from another daemon's."""
         current = conflict.current
         found = LeaseRecord.decode(current.content) if current is not None else None
         if current is None or found is None or found.boot != self._boot:
             self._lose(f"taken by {found.holder if found else 'nobody'}")
             return
-        # An own earlier renewal: it proves nothing of this one's time.
+        # An own earlier renewal: it proves nothing about the time of this one.
         self.record = replace(updated, renewals=max(found.renewals, updated.renewals))
         self._observe(current.revision)
 
@@ -292,7 +294,7 @@
 
     @property
     def renewed_at(self) -> Seconds:
-        """Return when the store last answered a renewal."""
+        """Return the time of the store's last answer to a renewal."""
         return self._renewed_at
 
     def should_resign(
@@ -301,12 +303,12 @@
         remote_read_at: Seconds = float("-inf"),
         local_read_at: Seconds = float("-inf"),
     ) -> bool:
-        """Tell whether the store answered others, but not this holder for long.
+        """Return whether the store answers other daemons but not this holder.
 
-        Renewals are compared with renewals, and reads with reads: where the store only
-        reads for anybody, nobody could take the lease over. To be asked every moment: a
-        renewal counts as failed in vain if it was sent after the others' answer was
-        first known.
+        Renewals are compared with renewals, and reads with reads: if the store only
+        serves reads, nobody could take the lease over. This must be called often, as a
+        failed renewal counts only if it was sent after the first call that found this
+        holder behind the others.
         """
         local_answered_at = max(self._renewed_at, local_read_at)
         renewed = remote_renewed_at - self._renewed_at > RESIGN_DELAY
@@ -321,7 +323,7 @@
         return self._failed_sent_at >= self._behind_since
 
     def resign(self) -> int:
-        """Give no more orders under this number, for the store is out of reach."""
+        """Stop giving orders under the current fence, as the store is unreachable."""
         fence = self.fence
         self._stop_leading()
         self._not_before = self._clock() + RESIGNED_DURATION
@@ -329,7 +331,7 @@
         return fence
 
     async def check(self, stored: StoredObject | None) -> None:
-        """Look at the lease, and take it when its holder does not renew it."""
+        """Check the lease, and take it if its holder does not renew it."""
         now = self._clock()
         if self.leads:
             return
@@ -352,7 +354,7 @@
             await self._take_over(record, observed)
 
     def _compute_takeover_wait(self, record: LeaseRecord) -> Seconds:
-        """Return how long a lease must be unchanged before it is taken."""
+        """Return how long a lease must be unchanged before it can be taken."""
         extra_wait = self._takeover_wait - TAKEOVER_DELAY
         if self._is_outdated(record):
             return self._takeover_wait
@@ -363,22 +365,22 @@
         return self._takeover_wait
 
     def _is_outdated(self, record: LeaseRecord) -> bool:
-        """Tell whether a record was written before the store came back from a copy.
+        """Return whether a record was written before the store's last restore.
 
-        Who held the lease after it may be lost, so what it says of its holder, and of
-        the orders that are still to be waited for, no longer counts.
+        Later holders may be lost, so its statements about the holder, and about the
+        remaining wait for orders, no longer apply.
         """
         return record.era != self._store.era
 
     def _next_fence(self, former: int = 0) -> int:
-        """Return a number that no holder has had, also of those that are lost."""
+        """Return a fence that no holder has had, including those lost in a restore."""
         return max(former, self._store.era * FENCES_PER_ERA) + 1
 
     async def _create(self, absence: Absence) -> None:
         sent_at = self._clock()
         start = sent_at
         if absence.era > FIRST_ERA or self._store.restored_at > NEVER:
-            # There was a holder, maybe: its record is lost.
+            # There may have been a holder whose record is lost.
             start = self._compute_start_after(absence.since + VALIDITY)
         quiet = max(0.0, start - sent_at)
         record = self._make_record(self._next_fence(), quiet)
@@ -407,11 +409,11 @@
     def _compute_start(
         self, former: LeaseRecord, observed: ObservedRevision, now: Seconds
     ) -> Seconds:
-        """Return from when on orders are surely apart from a former holder's."""
+        """Return the time from which orders are separated from a former holder's."""
         if self._is_outdated(former):
             return self._compute_start_after(observed.since + VALIDITY)
         if former.holder == self._vm:
-            # One machine is one holder: only what it waited for itself counts.
+            # The same VM is the same holder: only its own remaining wait applies.
             return now + former.quiet
         last = observed.since + (0.0 if former.released else VALIDITY)
         resigned = self._resigned.get(former.fence)
@@ -420,7 +422,7 @@
         return self._compute_start_after(last)
 
     def _compute_start_after(self, last: Seconds) -> Seconds:
-        """Return from when on orders are apart from one that left at ``last``."""
+        """Return the time from which orders are separated from one sent at ``last``."""
         return last + MAX_ORDER_TRANSIT + self._holder_gap
 
     def _start_leading(self, start: Seconds) -> None:
@@ -455,7 +457,7 @@
         )
 
     async def release(self) -> None:
-        """Give the lease up at a planned stop, so that the next need not wait long."""
+        """Release the lease at a planned stop, so that the successor waits less."""
         self._not_before = float("inf")
         record, observed = self.record, self.observed
         if not self.leads or record is None or observed is None:
@@ -467,7 +469,7 @@
             log_decision(LOG, Decision.LEASE_NOT_RELEASED, reason=str(error))
 
     async def _write_release(self, revision: Revision, record: LeaseRecord) -> None:
-        """Write that the lease is given up, also where a renewal was on its way."""
+        """Write the release, even if a renewal was in flight."""
         released = replace(record, released=True)
         try:
             await self._write(revision, released)
--- a/src/kestreltally/placing/leasemonitor.py
+++ b/src/kestreltally/placing/leasemonitor.py
@@ -1,4 +1,4 @@
-"""Looks at all leases in the store at once, for those whose leader is not heard."""
+"""Reads all leases from the store in one call, while a leader is unreachable."""
 
 import asyncio
 import logging
@@ -14,31 +14,31 @@
 
 LOG = logging.getLogger("kestreltally.lease")
 
-# How often a daemon without a leader looks, and how many of such looks a second are
-# enough for all daemons of a data centre together: the first one to see a free lease
-# takes it, and its address spreads by the feed.
+# How often a daemon without a leader reads the leases, and how many such reads per
+# second suffice for all daemons of a data centre together: the first daemon to see a
+# free lease takes it, and its address spreads over the feed.
 READ_INTERVAL: Final[Seconds] = 0.3
 MAX_READ_INTERVAL: Final[Seconds] = 2.0
 MAX_READS_PER_SECOND: Final = 20.0
 
 
 class LeaseMonitor:
-    """Reads all leases in one call, while a leader is not heard."""
+    """Checks all leases in one call, for those that need it."""
 
     def __init__(
         self,
         store: Store,
         leases: Mapping[str, Lease],
-        should_poll: Callable[[Lease], bool],
+        needs_check: Callable[[Lease], bool],
         count_daemons: Callable[[], int] = lambda: 1,
     ) -> None:
         self._store = store
         self._leases = leases
-        self._needs_check = should_poll
+        self._needs_check = needs_check
         self._count_daemons = count_daemons
 
     async def run(self) -> None:
-        """Look for ever, whenever it is wanted."""
+        """Check the leases forever, whenever one needs it."""
         while True:
             if any(self._needs_check(lease) for lease in self._leases.values()):
                 try:
@@ -48,7 +48,7 @@
             await asyncio.sleep(self._compute_interval())
 
     def _compute_interval(self) -> Seconds:
-        """Return how long to wait until the next look, so that all share the rate."""
+        """Return the time until the next read, so that all daemons share the rate."""
         daemons_per_lease = self._count_daemons() / len(self._leases)
         usual = min(
             MAX_READ_INTERVAL,
--- a/src/kestreltally/placing/leaserecords.py
+++ b/src/kestreltally/placing/leaserecords.py
@@ -1,4 +1,4 @@
-"""What the store holds of a lease, and what was seen of it there."""
+"""The stored record of a lease, and observations of it."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,11 +9,11 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """What the lease's object says.
+    """The content of the lease's object.
 
-    ``quiet`` is how long after this writing the holder still gave no order, and
-    ``released`` tells that it will give none any more. ``era`` is that of the store
-    as it was written.
+    ``quiet`` is how long after this write the holder still gives no orders, and
+    ``released`` means that it gives no more at all. ``era`` is the era of the store at
+    the time of the write.
     """
 
     holder: str
@@ -28,13 +28,13 @@
 
     @classmethod
     def decode(cls, content: Any) -> "LeaseRecord":
-        """Read a record; raises ``TypeError`` when it has another form."""
+        """Decode a record; raises ``TypeError`` if it has another form."""
         return cls(**content)
 
 
 @dataclass(slots=True)
 class ObservedRevision:
-    """A revision of the lease and when it was first known here to exist."""
+    """A revision of the lease and when this daemon first knew of it."""
 
     revision: Revision
     since: Seconds
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Absence:
-    """Since when the store is known to hold no record, in one era of it."""
+    """Since when the store is known to hold no record, within one era."""
 
     era: int
     since: Seconds
--- a/src/kestreltally/placing/loads.py
+++ b/src/kestreltally/placing/loads.py
@@ -1,4 +1,4 @@
-"""Carries out what the leader plans: unloads, loads, and the wait for their end."""
+"""Executes the leader's plans: unloads, loads and polling for their end."""
 
 import asyncio
 import logging
@@ -23,48 +23,51 @@
 
 LOG = logging.getLogger("kestreltally.loads")
 
-# What a load is taken to last before any was measured; then a moving mean is used.
+# The assumed load time before any load is measured, and the weight of a new measurement
+# in the moving mean.
 INITIAL_LOAD_TIME: Final[Seconds] = 0.25
 LOAD_TIME_WEIGHT: Final = 0.1
-# An adapter that the engine kept a copy of comes in some 25 ms.
+# An adapter of which the engine keeps a copy loads in about 25 ms.
 WARM_LOAD_TIME: Final[Seconds] = 0.02
-# A load that took less than this part of the usual time came from a copy: those take a
-# tenth, and their end is seen some 25 ms late. One that took so many times the usual
-# tells nothing: the engine was slow, or orders were lost.
+# A load that took less than this fraction of the usual time came from a copy: such
+# loads take a tenth of it, and their end is detected about 25 ms late. A load that took
+# this multiple of the usual time or more gives no evidence of a copy: the engine was
+# slow, or orders were lost.
 QUICK_FRACTION: Final = 0.5
 OUTLIER_FACTOR: Final = 2.0
-# A load is asked after at this part of the quickest of the last few, then this often,
-# and more seldom the longer it lasts. By their mean, loads that are quick again after
-# slow ones would be seen to end as late as those for many loads.
+# A load is first polled after this fraction of the shortest recent load time, then at
+# this interval, and less often the longer it takes. With the mean instead, quick loads
+# after slow ones would be detected as late as the slow ones for many loads.
 ASK_FRACTION: Final = 0.85
 ASK_INTERVAL: Final[Seconds] = 0.025
 ASK_BACKOFF_FRACTION: Final = 0.1
 RECENT_LOADS: Final = 8
-# A load that was not seen to end after this is taken as failed.
+# A load whose end is not detected within this time is considered failed.
 LOAD_TIMEOUT: Final[Seconds] = 4.0
-# Loads of this time tell how fast places turn over; of so many at the most.
+# The window over which the rate of completed loads is measured, and the maximum number
+# of loads kept for it.
 TURNOVER_WINDOW: Final[Seconds] = 2.0
 MAX_TURNOVER_LOADS: Final = 256
-# An engine that did not answer an order is left alone this long.
+# How long an engine that did not answer an order gets no further orders.
 SILENT_PAUSE: Final[Seconds] = 0.2
 
 
 class LoadOrigin(Enum):
-    """Where an adapter came from, as far as is known when its load has ended."""
+    """The origin of an adapter, as far as known at the end of its load."""
 
     STORE = "store"
     COPY = "copy"
-    # The engine was believed to keep a copy, and did not.
+    # The engine was expected to keep a copy and did not.
     COPY_GONE = "copy_gone"
-    # Another engine was believed to keep a copy: it was not free, or not led here.
+    # Another engine was expected to keep a copy but was busy or not led by this daemon.
     COPY_ELSEWHERE = "copy_elsewhere"
 
 
 class Loader:
-    """Works on engines, each of which takes one piece of work at a time.
+    """Runs work on engines, one task per engine at a time.
 
-    ``placing`` names what is being placed; ``load_time`` is the mean of the loads from
-    the weight store.
+    ``placing`` holds the weights being placed; ``load_time`` is the moving mean of
+    load times from the weight store.
     """
 
     def __init__(
@@ -88,13 +91,13 @@
         self.origins: Counter[LoadOrigin] = Counter()
 
     def compute_turnover(self) -> float:
-        """Return how many loads a second ended of late, one at the least."""
+        """Return the recent rate of completed loads per second, at least one."""
         now = self._clock()
         recent = sum(1 for at in self._ended_at if now - at < TURNOVER_WINDOW)
         return max(1.0, recent / TURNOVER_WINDOW)
 
     def start(self, state: EngineState, work: Coroutine[Any, Any, None]) -> None:
-        """Do work on an engine, which takes no other meanwhile."""
+        """Start work on an engine and mark the engine as busy."""
         state.busy = True
         self._spawn(self._run_guarded(state, work))
 
@@ -106,7 +109,7 @@
     async def _run_guarded(
         self, state: EngineState, work: Coroutine[Any, Any, None]
     ) -> None:
-        """Run work on an engine; whatever it does not answer waits for a report."""
+        """Run work on an engine; after a missing answer, require a report first."""
         try:
             await work
         except EngineUnresponsive as error:
@@ -128,7 +131,7 @@
             self.publish(state)
 
     async def read(self, state: EngineState) -> None:
-        """Take an engine's report in."""
+        """Read and apply an engine's report."""
         report = await self._client.read_report(state.endpoint)
         now = self._clock()
         state.apply_report(report, now)
@@ -136,7 +139,7 @@
             self._fleet.copies.record_reported(state.endpoint.id, key)
 
     async def load(self, state: EngineState, key: WeightsKey) -> None:
-        """Order a load; another task waits for its end."""
+        """Order a load; a separate task waits for its end."""
         age = self._fleet.copies.measure_age(state.endpoint.id, key)
         outcome = await self._client.order(state, OrderKind.LOAD, key)
         self.publish(state)
@@ -152,16 +155,16 @@
         self.publish(state)
 
     def publish(self, state: EngineState) -> None:
-        """Tell the others of a book, unless it is no longer this daemon's."""
+        """Publish an engine's state, unless this daemon no longer leads the engine."""
         if self._is_led(state):
             self._publish(state.make_row())
 
     async def _await_load(
         self, state: EngineState, key: WeightsKey, age: int | None
     ) -> None:
-        """Ask after a load until it has ended.
+        """Poll a load until it has ended.
 
-        ``age`` is how many drops ago the engine held the adapter, if lately.
+        ``age`` is how many evictions ago the engine held the adapter, if recently.
         """
         started_at = self._clock()
         fast = self._fleet.copies.is_retained(age)
@@ -199,7 +202,7 @@
     def _record_origin(
         self, state: EngineState, key: WeightsKey, took: Seconds, age: int | None
     ) -> None:
-        """Count where an adapter came from."""
+        """Count the origin of an adapter."""
         if took < QUICK_FRACTION * min(self._recent_loads):
             origin = LoadOrigin.COPY
         elif self._fleet.copies.is_retained(age):
@@ -211,7 +214,7 @@
         self.origins[origin] += 1
 
     async def place(self, state: EngineState, placement: Placement) -> None:
-        """Order a load, and before it the unload that makes way."""
+        """Order a load, preceded by the unload of its victim, if any."""
         self.placing.add(placement.key)
         try:
             await self._evict_and_load(state, placement)
@@ -225,6 +228,7 @@
             self._publish(state.make_row())
             outcome = await self._client.order(state, OrderKind.UNLOAD, victim)
             if outcome is not OrderOutcome.DONE:
-                # It waits for its runs, or the book was wrong: a report will tell.
+                # The unload waits for its runs, or the state was wrong: the next report
+                # decides.
                 return
         await self.load(state, placement.key)
--- a/src/kestreltally/placing/orders.py
+++ b/src/kestreltally/placing/orders.py
@@ -1,8 +1,8 @@
-"""Gives orders to one engine after another, and reads what it reports.
+"""Sends orders to engines, one at a time per engine, and reads their reports.
 
-An order names the engine's start and its count of orders, so one that comes late or
-reaches another start changes nothing. What an unanswered order did is learned from
-reports; until then its place counts as taken.
+An order names the engine's incarnation and its expected order count, so an order that
+arrives late or reaches another incarnation has no effect. The effect of an unanswered
+order is learned from reports; until then its place counts as occupied.
 """
 
 import asyncio
@@ -39,44 +39,44 @@
 
 LOG = logging.getLogger("kestreltally.orders")
 
-# Engines answer within some ms; what is sent meanwhile is guarded by its expected
-# count. Not longer than the lease takes an order to be on its way.
+# Engines answer within some ms. Orders sent in the meantime are protected by their
+# expected count. Must not exceed the transit time that the lease allows for an order.
 CALL_TIMEOUT: Final[Seconds] = 0.2
-# An order without an answer is sent again at once: both expect the same count of
-# orders taken, so the engine carries out one of them at most. A third of the answers
-# may be missing for seconds; then three sends leave one in thirty unanswered.
+# An unanswered order is resent at once: both name the same expected order count, so the
+# engine executes at most one of them. A third of the answers may be lost for seconds;
+# three attempts then leave one order in thirty unanswered.
 MAX_ORDER_SENDS: Final = 3
 MAX_REPORT_BYTES: Final = 2**20
-# An engine's report is some 100 to 200 ms old; after this it shows what came before.
+# An engine's report is 100 to 200 ms old; after this time it covers earlier orders.
 REPORT_LAG: Final[Seconds] = 0.3
 
 
 class EngineUnresponsive(Exception):
-    """The engine did not answer; an order may still be carried out."""
+    """The engine did not answer; an order may still be executed."""
 
 
 class EngineUnreachable(EngineUnresponsive):
-    """No channel to the engine could be opened: nothing was sent."""
+    """No connection to the engine could be opened: nothing was sent."""
 
 
 class OrderNotAllowed(Exception):
-    """The lease does not allow an order now."""
+    """The lease does not allow an order at this moment."""
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """The leave to give an order under one number of a lease."""
+    """Permission to send an order under one fence of a lease."""
 
     lease: Lease
     fence: int
 
     def is_valid(self) -> bool:
-        """Tell whether the order may leave at this very moment."""
+        """Return whether the order can be sent at this moment."""
         return self.lease.can_order() and self.lease.fence == self.fence
 
 
 class EngineClient:
-    """Calls engines for their reports and gives them orders under a lease."""
+    """Reads reports from engines and sends them orders under a lease."""
 
     def __init__(
         self,
@@ -104,10 +104,10 @@
     async def order(
         self, state: EngineState, kind: OrderKind, key: WeightsKey
     ) -> OrderOutcome:
-        """Give an order and book its outcome; raises ``EngineUnresponsive``, ``Unavailable``.
+        """Send an order and record its outcome.
 
-        To repeat a load is to ask whether it has ended: the engine's answer is of the
-        moment, unlike its report, and changes nothing.
+        Raises ``EngineUnresponsive`` or ``Unavailable``. Repeating a load polls its end:
+        the engine's answer is current, unlike its report, and the repeat has no effect.
         """
         async with state.lock:
             return await self._order_locked(state, kind, key)
@@ -116,7 +116,7 @@
         self, state: EngineState, kind: OrderKind, key: WeightsKey
     ) -> OrderOutcome:
         if state.sequence is None:
-            raise EngineUnresponsive("no report yet")
+            raise EngineUnresponsive("the engine's report must be read before an order")
         lease = self._get_lease(state.endpoint)
         grant = Grant(lease, lease.fence)
         order = Order(kind, key, self._holder, grant.fence, state.sequence)
@@ -127,7 +127,7 @@
         if outcome in (OrderOutcome.IN_FLIGHT, OrderOutcome.DONE):
             self._record_order(state, order, outcome, now)
         else:
-            # The book is wrong somewhere: the next order waits for a report.
+            # The known state is wrong: the next order waits for a report.
             state.require_report(now)
         log_decision(
             LOG,
@@ -201,7 +201,7 @@
             raise EngineUnreachable(str(error)) from error
         keep = False
         try:
-            # Checked with no pause before the bytes leave.
+            # Checked without an await before the bytes are sent.
             if grant is not None and not grant.is_valid():
                 raise OrderNotAllowed()
             async with asyncio.timeout(CALL_TIMEOUT):
--- a/src/kestreltally/placing/planner.py
+++ b/src/kestreltally/placing/planner.py
@@ -1,7 +1,7 @@
-"""Decides which adapter comes to which engine, and which makes way.
+"""Decides which adapter is loaded on which engine, and which one is evicted.
 
-Pure functions over what the leader knows. An adapter comes in a quarter of a second
-and costs about as much as 0.7 of a request; places are the scarce good.
+Pure functions of the leader's state. A load takes a quarter of a second and costs about
+as much as 0.7 of a request; places are the scarce resource.
 """
 
 from collections.abc import Callable, Container, Iterator, Sequence
@@ -11,51 +11,54 @@
 from kestreltally.entry.choice import BATCH_PENALTY, REMOTE_PENALTY
 from kestreltally.fleet.model import EndpointId, Seconds, WeightsKey
 
-# A request that waits counts as much as a rate of one a second would in this time.
+# The score of a waiting request, relative to a rate of one request per second.
 WAITING_SCORE: Final = 1.0
-# One that can no longer be answered within its objective is worth less to its caller.
+# A request that can no longer meet its objective is worth less to its caller.
 LATE_SCORE: Final = 0.3
 MISSED_SCORE: Final = 0.5
 RATE_SCORE: Final[Seconds] = 1.0
-# A newcomer must be worth this much more than what makes way for it, or two adapters
-# would take turns.
+# A candidate must exceed its victim's score by this factor, or two adapters would
+# evict each other in turn.
 VICTIM_FACTOR: Final = 1.5
-# An adapter stays this long at least, also once those who waited for it have used it:
-# what leaves sooner is asked for again.
+# An adapter stays loaded at least this long, even once the requests that waited for it
+# are served: an adapter evicted sooner is requested again.
 MIN_STAY: Final[Seconds] = 1.0
-# What one request costs less when it is served in its own data centre, in parts of a
-# request: the price of its bytes between data centres.
+# The saving per request served in its own data centre, as a fraction of a request's
+# cost: the cost of its traffic between data centres.
 LOCAL_GAIN: Final = 0.12
-# A copy pays when it spares the price of its load (0.7 of a request) within 10 s.
+# A replica pays off if it saves the cost of its load (0.7 of a request) within 10 s.
 MIN_REPLICA_RATE: Final = 0.7
-# A place of a batch serves about this many requests a second of one adapter while the
-# batch has room for others (14 a second at a batch of 32).
+# A batch slot serves about this many requests per second of one adapter while the batch
+# has slots for others (14 per second with a batch of 32).
 BATCH_SLOT_RATE: Final = 0.44
-# What a copy is worth more, in parts of a request a second, where every engine that
-# holds the adapter has a full batch: requests there wait for others to end.
+# The score of a replica per request per second if all engines that hold the adapter
+# have full batches: requests there wait for others to end.
 CROWDED_SCORE: Final = 2.0
-# An adapter asked for less often than this is not what crowds its engines.
+# An adapter requested less often than this does not cause its engines' full batches.
 MIN_CROWDED_RATE: Final = 0.5
-# A load from an engine's own copy costs no load from the weight store, whose price is
-# some third of a request.
+# A load from an engine's own copy saves a load from the weight store, which costs about
+# a third of a request.
 WARM_GAIN: Final[Seconds] = 0.5
-# An engine with a copy that is just given another order is free for the next after some
-# 10 to 100 ms; a load from the store takes longer. Until then the adapter is held back,
-# as long as such a load takes.
+# An engine with a copy that is processing another order is free again after 10 to
+# 100 ms; a load from the store takes longer. So the adapter is held back for it, at
+# most as long as such a load takes.
 BUSY_DELAY: Final[Seconds] = 0.1
 HOLD_DURATION: Final[Seconds] = 0.25
-# What makes way will be asked for again: a load for each request a second.
+# The cost of an eviction: the victim will be requested again and loaded.
 VICTIM_COST_TIME: Final[Seconds] = 0.5
-# What nobody waits for and is asked for no more often than this is not planned for.
+# Adapters without waiting requests and at most this rate are not planned for.
 MIN_RATE: Final = min(MIN_REPLICA_RATE, MIN_CROWDED_RATE)
-# Copies are brought a few at a time, behind the adapters that nobody has.
+# Replicas are loaded a few at a time, after adapters that no engine holds.
 MAX_REPLICAS_PER_ROUND: Final = 2
 
 
 @dataclass(frozen=True, slots=True)
 class HeldAdapter:
-    """An adapter on an engine; ``rate`` is its whole demand, ``near`` that part from
-    the engine's data centre, ``holders`` the engines that hold it."""
+    """An adapter on an engine.
+
+    ``rate`` is its total demand, ``local_rate`` the demand from the engine's data
+    centre, ``holders`` the number of engines that hold it.
+    """
 
     key: WeightsKey
     since: Seconds
@@ -67,11 +70,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineView:
-    """An engine that may take a load, now if ``ready``.
+    """An engine that can take a load, immediately if ``ready``.
 
-    ``ready_for_cold`` tells the same of a load from the weight store.
-    ``unread`` are the tokens that it has yet to read, also for the adapters on their
-    way; ``prefill_time`` is the time that one takes, ``load_time`` that of a load.
+    ``ready_for_cold`` is the same for a load from the weight store. ``unread`` is the
+    number of prompt tokens still to be processed, including those for loading adapters,
+    and ``prefill_time`` the time per token. ``load_time`` is the time of a load.
     """
 
     id: EndpointId
@@ -90,13 +93,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestedAdapter:
-    """An adapter that is asked for.
-
-    Of the requests ``waiting``, ``within_objective`` can still be in time.
-    ``holders`` and ``loading`` count engines by data centre; ``crowded`` tells that the
-    batches of all holders are full. ``batch`` is that of one engine; ``waited`` is how
-    long the first request has waited. ``leaving`` tells that an engine holds it that
-    leaves: what is asked for often is brought elsewhere before anyone waits for it.
+    """A requested adapter.
+
+    Of the requests ``waiting``, ``within_objective`` can still meet their objective.
+    ``holders`` and ``loading`` count engines by data centre; ``crowded`` means that the
+    batches of all holders are full. ``batch`` is the batch size of one engine;
+    ``waited`` is how long the first request has waited. ``leaving`` means that a
+    leaving engine holds the adapter: at a high rate, it is loaded elsewhere before any
+    request waits for it.
     """
 
     key: WeightsKey
@@ -114,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """A load to be ordered, and the adapter that makes way for it."""
+    """A load to be ordered, and the adapter to be evicted for it."""
 
     engine: EndpointId
     key: WeightsKey
@@ -129,7 +133,7 @@
 
 
 def register_planner(name: str) -> Callable[[P], P]:
-    """Register a way to plan loads under a name."""
+    """Register a planner under a name."""
 
     def decorate(planner: P) -> P:
         PLANNERS[name] = planner
@@ -139,7 +143,7 @@
 
 
 def score_missing(requested: RequestedAdapter) -> float:
-    """Return how much an adapter that no engine holds is missed."""
+    """Return the score of loading an adapter that no engine holds."""
     too_late = requested.waiting - requested.within_objective
     waiting_score = WAITING_SCORE * requested.within_objective + LATE_SCORE * too_late
     return (
@@ -150,7 +154,7 @@
 
 
 def score_held(held: HeldAdapter) -> float:
-    """Return how much an adapter on an engine would be missed there."""
+    """Return the score of keeping an adapter on an engine."""
     if held.holders > 1:
         return LOCAL_GAIN * held.local_rate * 10
     return RATE_SCORE * held.rate
@@ -158,7 +162,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """A load that would help: for which data centre, and how much."""
+    """A useful load: for which data centre, and its score."""
 
     key: WeightsKey
     data_centre: str | None
@@ -171,7 +175,7 @@
     for each in requested:
         if sum(each.holders.values()) + sum(each.loading.values()):
             continue
-        # What leaves is brought before anyone waits for it.
+        # Adapters on a leaving engine are loaded before any request waits for them.
         if each.waiting or each.leaving:
             busiest = max(each.rates, key=lambda dc: each.rates[dc], default=None)
             yield _Candidate(
@@ -210,14 +214,14 @@
 
 
 def _list_evictable(engine: EngineView, now: Seconds) -> list[HeldAdapter]:
-    """Return the adapters that may make way."""
+    """Return the adapters that can be evicted."""
     return [
         each for each in engine.held if now - each.since >= MIN_STAY and not each.in_use
     ]
 
 
 def count_free_capacity(engine: EngineView, now: Seconds) -> int:
-    """Return how many adapters that one request waits for an engine could take."""
+    """Return how many adapters with one waiting request an engine could take."""
     replaceable = [
         each
         for each in _list_evictable(engine, now)
@@ -227,7 +231,7 @@
 
 
 def _choose_victim(engine: EngineView, now: Seconds) -> tuple[float, WeightsKey | None]:
-    """Return what an engine's next place costs, and which adapter makes way."""
+    """Return the cost of an engine's next place, and the adapter to be evicted."""
     if engine.free_places > 0:
         return 0.0, None
     evictable = _list_evictable(engine, now)
@@ -239,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Offer:
-    """An engine, what its next place costs, and which adapter makes way there."""
+    """An engine, the cost of its next place, and the adapter to be evicted."""
 
     engine: EngineView
     cost: float
@@ -247,7 +251,7 @@
 
 
 def predict_delay(engine: EngineView, candidate: _Candidate) -> Seconds:
-    """Return how late requests would begin on an engine, after the adapter's load."""
+    """Return the delay of requests on an engine after the adapter's load."""
     delay = max(0.0, engine.prefill_time * engine.unread - engine.load_time)
     delay += BATCH_PENALTY * engine.running / max(1, engine.batch)
     if engine.data_centre != candidate.data_centre:
@@ -258,7 +262,7 @@
 
 
 def _can_load(candidate: _Candidate, engine: EngineView, *, busy: bool) -> bool:
-    """Tell whether an adapter could come to an engine, now or after a short wait."""
+    """Return whether an engine can load an adapter, now or after a short wait."""
     warm = candidate.key in engine.warm
     if not warm and (busy or not engine.ready_for_cold):
         return False
@@ -272,9 +276,9 @@
 def _choose_engine(
     candidate: _Candidate, offers: Sequence[_Offer], assigned: Container[EndpointId]
 ) -> Placement | None:
-    """Return the load of least cost; none also where a copy is worth a short wait.
+    """Return the load of lowest cost; None if an engine's copy is worth a short wait.
 
-    Engines that are ``assigned`` a load already are as busy as those that are not able.
+    Engines that are already ``assigned`` a load count as busy, like those not ready.
     """
     best: tuple[float, bool, _Offer] | None = None
     for offer in offers:
@@ -301,9 +305,9 @@
     requested: Sequence[RequestedAdapter],
     now: Seconds,
 ) -> list[Placement]:
-    """Return the next loads: adapters that are missed first, then copies.
+    """Return the next loads: missing adapters first, then replicas.
 
-    An engine is given one at a time.
+    Each engine gets at most one load.
     """
     candidates = sorted(_list_missing(requested), key=lambda each: -each.score)
     replicas = sorted(_list_replicas(requested), key=lambda each: -each.score)
--- a/src/kestreltally/placing/views.py
+++ b/src/kestreltally/placing/views.py
@@ -1,7 +1,7 @@
-"""What one planning round looks at: the engines led here, and what is asked for.
+"""The input of one planning round: the led engines and the requested adapters.
 
-Everything is of one moment and of one service. The planner sees nothing else, so that
-its decisions can be tested without a leader.
+It covers one service at one moment. The planner gets no other input, so that its
+decisions can be tested without a leader.
 """
 
 from collections import defaultdict
@@ -30,10 +30,11 @@
 
 @dataclass(slots=True)
 class AdapterDistribution:
-    """Where adapters stand in the whole fleet: engines that hold or load them.
+    """The distribution of adapters in the fleet: engines that hold or load them.
 
-    ``holders`` and ``loading`` count engines by data centre; what is ``uncrowded`` is held
-    by an engine whose batch is not full, and what is ``leaving`` by one that leaves.
+    ``holders`` and ``loading`` count engines by data centre. An adapter is
+    ``uncrowded`` if an engine with free batch slots holds it, and ``leaving`` if a
+    leaving engine does.
     """
 
     holders: dict[WeightsKey, dict[str, int]] = field(
@@ -48,10 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanningRound:
-    """What is known as loads for one service are planned.
+    """The state from which loads for one service are planned.
 
-    ``uses`` tells which adapters on which engines any daemon uses; ``load_time`` is
-    that of a load from the weight store.
+    ``uses`` are the adapters in use by any daemon, with their engines; ``load_time`` is
+    the time of a load from the weight store.
     """
 
     service: ServiceName
@@ -67,10 +68,10 @@
     def list_requested(
         self, is_handled: Callable[[WeightsKey], bool]
     ) -> list[RequestedAdapter]:
-        """Return the adapters that may be loaded: waited for, or asked for often.
+        """Return the adapters that may be loaded: with waiting requests or high rates.
 
-        What is being seen to already is left out. The others change no plan, and are
-        most of those asked for lately.
+        Adapters being handled already are left out. All others, which are most of the
+        recently requested adapters, do not affect the plan.
         """
         distribution = self._compute_distribution()
         requested = []
@@ -104,7 +105,8 @@
         distribution = AdapterDistribution()
         for endpoint in self.fleet.list_leaving(self.service):
             distribution.leaving.update(endpoint.weights)
-        # What others hold is brought elsewhere for who may not ask them.
+        # Engines that not all daemons can use do not count as holders: their adapters
+        # are loaded elsewhere.
         for endpoint in self.fleet.list_usable(self.service, self.now):
             data_centre = endpoint.data_centre
             in_flight = self.occupancy.in_flight.get(endpoint.id, 0)
@@ -121,7 +123,7 @@
     def list_copies_by_engine(
         self, requested: list[RequestedAdapter]
     ) -> dict[EndpointId, set[WeightsKey]]:
-        """Return which of the adapters wanted each engine keeps a copy of."""
+        """Return the requested adapters of which each engine keeps a copy."""
         copies: dict[EndpointId, set[WeightsKey]] = defaultdict(set)
         for each in requested:
             for endpoint in self.fleet.copies.list_engines(each.key):
@@ -136,7 +138,7 @@
         ready: bool,
         ready_for_cold: bool,
     ) -> EngineView:
-        """Return an engine as the planner sees it."""
+        """Return the planner's view of an engine."""
         name = state.endpoint.id
         unread = self.occupancy.unread.get(name, 0)
         return EngineView(
@@ -155,7 +157,7 @@
         )
 
     def _list_held(self, state: EngineState) -> list[HeldAdapter]:
-        """Return the adapters on an engine that stay for now."""
+        """Return the adapters on an engine that are neither loading nor unloading."""
         no_demand = WeightsRow(at=self.now)
         data_centre = state.endpoint.data_centre
         held = []
@@ -177,6 +179,6 @@
         return held
 
     def _count_loading_tokens(self, state: EngineState) -> int:
-        """Return the prompt tokens that wait for what is on its way to an engine."""
+        """Return the waiting prompt tokens for adapters loading on an engine."""
         rows = (self.demand.rows.get((self.service, key)) for key in state.incoming)
         return sum(row.sum_waiting(self.now).prompt_tokens for row in rows if row)
--- a/tests/issuersim.py
+++ b/tests/issuersim.py
@@ -1,10 +1,10 @@
-"""Who lends as leases change hands and daemons are cut: ``python -m tests.issuersim``.
+"""Simulation of credit issuers under lease changes and network partitions.
 
-Daemons of three data centres stand in cells, that is, who hears each other. Cells, the
-store's answers in each, suspensions and losses of leaders are drawn anew all the time.
-Every daemon wants more turns at one endpoint than there are, and uses each one that it
-gets. What is played of leases, and of who is heard, is in seconds; what is lent comes
-from the lender itself.
+Run it by ``python -m tests.issuersim``. Daemons of three data centres are divided into
+cells; only daemons of one cell reach each other. Cells, the availability of the store
+in each cell, suspensions and losses of leaders change at random. Every daemon requests
+more credits at one endpoint than there are, and uses each credit that it gets. Leases
+and reachability are modelled in seconds; the credits come from the real issuer.
 """
 
 import random
@@ -48,7 +48,7 @@
 
 @dataclass
 class Holding:
-    """A daemon's belief that it holds a lease."""
+    """A lease that a daemon believes to hold."""
 
     fence: int
     alone_from: float
@@ -58,7 +58,7 @@
 
 @dataclass(eq=False)
 class Daemon:
-    """One daemon, and what it lends."""
+    """One daemon and its issuer."""
 
     centre: int
     issuer: CreditIssuer
@@ -73,14 +73,14 @@
 
 @dataclass
 class Record:
-    """A lease as the store has it."""
+    """The record of a lease in the store."""
 
     fence: int = 1
     renewed_at: float = 0.0
 
 
 class Simulation:
-    """One seed; ``with_faults`` tells whether anything is cut, away, suspended or lost."""
+    """A simulation of one seed; ``with_faults`` enables faults."""
 
     def __init__(
         self, seed: int, daemons: int, limit: float, *, with_faults: bool = True
@@ -90,13 +90,14 @@
         self.limit = limit
         self.arrivals: list[float] = []
         self.daemons = [self._make_daemon(at % CENTRES) for at in range(daemons)]
-        # All that have ever held a lease.
+        # All daemons that have ever held a lease.
         self.leaders: list[Daemon] = []
         self.records = [Record() for _ in range(CENTRES)]
         for centre in range(CENTRES):
             self._record_held(self.daemons[centre], centre, 0.0)
         self.answers = {0: True}
-        # How many daemons each leader hears, and whom it takes for the endpoint's.
+        # How many daemons each leader reaches, and the leader that it considers
+        # responsible for the endpoint.
         self.groups: Counter[Daemon] = Counter()
         self.owners: dict[Daemon, Daemon | None] = {}
         self.next_event = self.rng.expovariate(0.3) if with_faults else END
@@ -113,7 +114,7 @@
         return Daemon(centre, issuer, standing)
 
     def list_leaders(self) -> list[Daemon]:
-        """Return the daemons that believe they hold a lease."""
+        """Return the daemons that believe to hold a lease."""
         return [each for each in self.leaders if each.holdings]
 
     def _record_held(self, daemon: Daemon, centre: int, alone_from: float) -> None:
@@ -140,10 +141,10 @@
             self.now += STEP
         return self
 
-    # Trouble.
+    # Faults.
 
     def _inject_fault(self) -> None:
-        """Draw some trouble."""
+        """Inject a random fault."""
         fault = self.rng.choice(("cells", "cells", "store", "suspend", "lose", "heal"))
         leaders = self.list_leaders()
         if fault == "cells":
@@ -156,14 +157,14 @@
             duration = self.rng.uniform(0.5, 9.0)
             self.rng.choice(leaders).suspended_until = self.now + duration
         elif leaders:
-            # A daemon that is started again holds nothing, and knows nobody.
+            # A restarted daemon holds no lease and knows no other daemon.
             restarted = self.rng.choice(leaders)
             restarted.holdings.clear()
             restarted.headcount = DaemonCount()
             restarted.joined_at = self.now
 
     def _partition(self, cells: int) -> None:
-        """Part the daemons anew, by data centre or one by one."""
+        """Divide the daemons into new cells, by data centre or individually."""
         by_data_centre = self.rng.random() < 0.5
         cell_of_centre = [self.rng.randrange(cells) for _ in range(CENTRES)]
         for daemon in self.daemons:
@@ -209,7 +210,7 @@
                 return
 
     def _find_holder(self, daemon: Daemon, centre: int) -> Daemon | None:
-        """Return the newest holder of a lease that a daemon hears."""
+        """Return the newest holder of a lease that a daemon reaches."""
         reachable = (
             each
             for each in self.leaders
@@ -219,7 +220,7 @@
             reachable, key=lambda each: each.holdings[centre].fence, default=None
         )
 
-    # Lending.
+    # Issuing credits.
 
     def _find_primary(self, daemon: Daemon) -> Daemon | None:
         if daemon.holdings:
@@ -239,7 +240,7 @@
                 daemon.issuer.issue(ENDPOINT, 1, daemon.standing, terms)
 
     def _count_reachable(self) -> None:
-        """Work out whom each leader hears."""
+        """Update which daemons each leader reaches."""
         self.groups.clear()
         self.owners.clear()
         for daemon in self.daemons:
@@ -275,7 +276,7 @@
             return None
         return compute_unleased_terms(self.limit, group, daemon.headcount.most or 0)
 
-    # What came of it.
+    # Results.
 
     @property
     def max_in_window(self) -> int:
@@ -290,7 +291,7 @@
 @click.option("--seeds", default=200)
 @click.option("--daemons", default=(6, 30, 79, 1_100), multiple=True)
 def main(seeds: int, daemons: tuple[int, ...]) -> None:
-    """Print a table."""
+    """Print a table of results."""
     click.echo("| daemons | limit | most | allowed | over | used, least | used |")
     for size in daemons:
         for limit in (0.5, 2.9, 8.0, 40.0):
--- a/tests/leaderrig.py
+++ b/tests/leaderrig.py
@@ -1,4 +1,4 @@
-"""A leader of fake engines, and rows for its planner."""
+"""A test rig of a leader with fake engines, and planner inputs."""
 
 import asyncio
 import json
@@ -36,13 +36,13 @@
 PLACES = 4
 LOAD_TIME = 0.25
 REPORT_LAG = 0.2
-# An engine keeps a copy of what it dropped last, and loads that quickly again.
+# Engines keep copies of the adapters unloaded last and load these quickly.
 COPIES = 24
 COPY_LOAD_TIME = 0.025
 
 
 class FakeEngine:
-    """An engine that takes orders as the platform describes them."""
+    """An engine that processes orders as the platform specifies."""
 
     def __init__(self, name: str, data_centre: str) -> None:
         self.name = name
@@ -59,8 +59,8 @@
         self.history: deque[tuple[float, bytes]] = deque(maxlen=400)
         self.born = 0
 
-    def start_again(self, born: int) -> None:
-        """Start anew under the same id: nothing is held, and all counts begin."""
+    def restart(self, born: int) -> None:
+        """Restart under the same id: nothing is held, and all counts start at 0."""
         self.born = born
         self.sequence = 0
         self.held.clear()
@@ -103,7 +103,7 @@
             self.overfilled += 1
         return 202
 
-    def record(self, now: float) -> None:
+    def write_report(self, now: float) -> None:
         self.finish_loads(now)
         report = {
             "Models": [
@@ -131,7 +131,7 @@
 
 
 class FakeClient(EngineClient):
-    """Calls fake engines instead of the network, and loses what it is told to."""
+    """Calls fake engines instead of the network and loses orders on request."""
 
     def __init__(self, engines: dict[str, FakeEngine], lease: Any, seed: int) -> None:
         clock = asyncio.get_running_loop().time
@@ -179,7 +179,7 @@
 
 
 class LeaderRig:
-    """A leader of two fake engines, and the demand it is told."""
+    """A leader of two fake engines, with the demand reported to it."""
 
     def __init__(self, seed: int = 1, engines: int = 2) -> None:
         self.lease: Any = SimpleNamespace(
@@ -213,7 +213,7 @@
     async def write_reports(self) -> None:
         while True:
             for engine in self.engines.values():
-                engine.record(asyncio.get_running_loop().time())
+                engine.write_report(asyncio.get_running_loop().time())
             await asyncio.sleep(0.02)
 
     def ask(self, number: int, waiting: int = 1) -> None:
--- a/tests/limitsim.py
+++ b/tests/limitsim.py
@@ -1,8 +1,8 @@
-"""Ways to hold a limit over all daemons, in virtual time: ``python -m tests.limitsim``.
+"""Compares strategies to keep a rate limit over all daemons, in virtual time.
 
-Daemons in groups, each with a leader, get requests that only one endpoint serves, which
-takes so many a second from all of them. Words between daemons take their time, and each
-way hears what the daemon itself would hear.
+Run it by ``python -m tests.limitsim``. Daemons in groups, each with a leader, get
+requests that only one rate-limited endpoint serves. Messages between daemons are
+delayed, and each strategy uses only what a real daemon would know.
 """
 
 import random
@@ -26,21 +26,21 @@
 from tests.windows import WINDOW, count_max_in_window
 
 END: Final = 14.0
-# All have heard of the limit by then.
+# All daemons know the limit by then.
 SETTLE_TIME: Final = 1.5
 MAX_WAIT: Final = 0.5
 GROUPS: Final = 3
 TRIP_TIME: Final = (0.001, 0.004)
 REPORT_INTERVAL: Final = 0.2
-MIN_REPORT_INTERVAL: Final = 0.02
-MIN_BATCH_DELAY: Final = (0.02, 0.05)
+MIN_REPORT_GAP: Final = 0.02
+GATHER_TIME: Final = (0.02, 0.05)
 ENDPOINT: Final = EndpointId("e")
 ISSUER_REACHABLE: Final = IssuerState(known=True, daemons=None)
 
 
 @dataclass
 class Daemon:
-    """One daemon, and what it knows of the limit."""
+    """One daemon and its knowledge of the limit."""
 
     group: int
     rate: float
@@ -56,7 +56,7 @@
 
 
 class Simulation:
-    """One seed of one way."""
+    """A simulation of one strategy with one seed."""
 
     def __init__(
         self, seed: int, daemons: int, limit: float, asked: float, *, even: bool
@@ -93,7 +93,7 @@
         return self
 
     def start(self) -> None:
-        """Begin what the way does by itself."""
+        """Start the periodic work of the strategy."""
 
     def _arrive_later(self, daemon: Daemon) -> None:
         if daemon.rate > 0:
@@ -107,14 +107,14 @@
         self._arrive_later(daemon)
 
     def ask(self, daemon: Daemon) -> None:
-        """Send a request, have it wait, or refuse it."""
+        """Send a request, queue it, or refuse it."""
         if self.can_send(daemon):
             self.send()
         else:
             self.refused += 1
 
     def can_send(self, daemon: Daemon) -> bool:
-        """Tell whether a request may leave at once."""
+        """Return whether a request can be sent at once."""
         raise NotImplementedError
 
     def send(self) -> None:
@@ -122,12 +122,12 @@
 
     @property
     def max_in_window(self) -> int:
-        """The most requests in a window, once all have heard."""
+        """The maximum number of requests in a window, from ``SETTLE_TIME`` on."""
         return count_max_in_window(self.arrivals, SETTLE_TIME)
 
     @property
     def used_fraction(self) -> float:
-        """The part of the limit, or of what was asked, that was used."""
+        """The used fraction of the limit, or of the requests if these are fewer."""
         recent = sum(1 for at in self.arrivals if at >= SETTLE_TIME)
         duration = END - SETTLE_TIME
         usable = min(self.limit * duration, self.asked * duration / END)
@@ -135,7 +135,7 @@
 
 
 class EqualShares(Simulation):
-    """Each daemon keeps an equal part."""
+    """Each daemon gets an equal share of the limit."""
 
     def can_send(self, daemon: Daemon) -> bool:
         rate = self.limit / len(self.daemons)
@@ -143,7 +143,7 @@
 
 
 class ProportionalShares(Simulation):
-    """Each daemon keeps the part that it has of what all ask for, as told lately."""
+    """Each daemon gets a share in proportion to its last reported request rate."""
 
     def start(self) -> None:
         self.total = 0.0
@@ -160,7 +160,7 @@
 
 
 class CommonRatio(ProportionalShares):
-    """Each daemon grants the same part of what it is asked for, as quotas have it."""
+    """Each daemon grants the same fraction of its requests, as quotas do."""
 
     def can_send(self, daemon: Daemon) -> bool:
         daemon.credit += min(1.0, self.limit / max(self.total, 1e-9))
@@ -170,7 +170,7 @@
 
 
 class Credits(Simulation):
-    """Turns are lent by the leader of the endpoint, by way of each group's leader."""
+    """The endpoint's leader issues credits through the leader of each group."""
 
     def start(self) -> None:
         self.groups = [
@@ -221,7 +221,7 @@
     def _expedite_report(self, daemon: Daemon) -> None:
         if not daemon.reports:
             daemon.reports = True
-            gap = max(0.0, daemon.reported_at + MIN_REPORT_INTERVAL - self.now)
+            gap = max(0.0, daemon.reported_at + MIN_REPORT_GAP - self.now)
             self.after(gap, lambda: self._report(daemon))
 
     def _report_later(self, daemon: Daemon) -> None:
@@ -260,7 +260,7 @@
             self.group_holders[group].received = {ENDPOINT: received}
             self._issue()
 
-        self.after(self.rng.uniform(*TRIP_TIME) + MIN_REPORT_INTERVAL, arrive)
+        self.after(self.rng.uniform(*TRIP_TIME) + MIN_REPORT_GAP, arrive)
 
     def _issue(self) -> None:
         wait = self.leaders[0].issue(ENDPOINT, 1, self.owner, self.terms)
@@ -271,7 +271,7 @@
             self._send_credits(number)
 
     def _send_credits(self, group: int) -> None:
-        """Send turns that the owner has lent to one group on their way."""
+        """Send the credits that the owner has issued to one group."""
         if group == 0:
             self._send_to_followers(0)
             return
@@ -286,7 +286,7 @@
             self._send_to_followers(group)
 
         self.after(
-            self.rng.uniform(*TRIP_TIME) + self.rng.uniform(*MIN_BATCH_DELAY), arrive
+            self.rng.uniform(*TRIP_TIME) + self.rng.uniform(*GATHER_TIME), arrive
         )
 
     def _send_to_followers(self, group: int) -> None:
@@ -294,7 +294,7 @@
             ends = daemon.holder.pop_unreported().get(ENDPOINT)
             if ends is not None:
                 self.messages += 1
-                wait = self.rng.uniform(*TRIP_TIME) + self.rng.uniform(*MIN_BATCH_DELAY)
+                wait = self.rng.uniform(*TRIP_TIME) + self.rng.uniform(*GATHER_TIME)
                 self.after(wait, self._make_arrival(daemon, ends))
 
     def _make_arrival(self, daemon: Daemon, ends: list[float]) -> Callable[[], None]:
@@ -321,7 +321,7 @@
 def simulate(
     strategy: str, seed: int, daemons: int, limit: float, asked: float, *, even: bool
 ) -> Simulation:
-    """Play one seed."""
+    """Run the simulation of one seed."""
     return STRATEGIES[strategy](seed, daemons, limit, asked, even=even).run()
 
 
@@ -330,7 +330,7 @@
 @click.option("--daemons", default=(6, 30, 79, 1_100), multiple=True)
 @click.option("--way", "ways", default=tuple(STRATEGIES), multiple=True)
 def main(seeds: int, daemons: tuple[int, ...], ways: tuple[str, ...]) -> None:
-    """Print a table of ways."""
+    """Print a table of the strategies."""
     click.echo("| daemons | limit | asked | even | way | most | aim | over | used |")
     for size in daemons:
         for limit in (0.5, 2.9, 8.0, 40.0):
@@ -345,8 +345,9 @@
                     over = sum(each.max_in_window > limit_in_window for each in runs)
                     used = statistics.mean(each.used_fraction for each in runs)
                     click.echo(
-                        f"| {size} | {limit} | {asked * limit:.1f} | {even} | {strategy} "
-                        f"| {max_count} | {limit_in_window:.1f} | {over} | {used:.2f} |"
+                        f"| {size} | {limit} | {asked * limit:.1f} | {even} "
+                        f"| {strategy} | {max_count} | {limit_in_window:.1f} | {over} "
+                        f"| {used:.2f} |"
                     )
 
 
--- a/tests/test_endpointhealth.py
+++ b/tests/test_endpointhealth.py
@@ -1,4 +1,4 @@
-"""Which endpoints are left alone, by what many daemons' requests met there."""
+"""Quarantine of endpoints based on the request outcomes of many daemons."""
 
 import pytest
 
@@ -20,7 +20,7 @@
         (0, 3, True),
         (2, 4, True),
         (0, 2, False),
-        # An endpoint that loses some answers in a hundred.
+        # An endpoint that loses a few answers in a hundred.
         (100, 5, False),
     ],
 )
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""What has no place on a leader's engines is brought by another leader."""
+"""Adapters without a place on a leader's engines are loaded by another leader."""
 
 from dataclasses import dataclass, field, replace
 
@@ -16,7 +16,7 @@
 
 @dataclass
 class HandoverRig:
-    """A leader of the north with requests that wait, and other leaders' rooms."""
+    """A leader of ``north`` with waiting requests, and other leaders' capacity."""
 
     free_capacity: dict[str, int]
     fleet: Fleet = field(default_factory=Fleet)
@@ -26,12 +26,12 @@
     def __post_init__(self) -> None:
         self.handover = Handover(self.fleet, self.demand)
         self.handover.get_free_capacity = lambda: self.free_capacity
-        self.handover.can_hand_over = lambda name: name in self.free_capacity
+        self.handover.can_load_quickly = lambda name: name in self.free_capacity
         self.handover.expedite = self.expedited.append
 
     def wait(self, key: WeightsKey, data_centre: str = LOCAL, at: float = 0.0) -> None:
         reported = WeightsDemand(MODELS, key, arrivals=1, waiting=1, missed=0)
-        self.demand.pop_demand("vm", data_centre, reported, at)
+        self.demand.apply("vm", data_centre, reported, at)
 
     def forward(self, *keys: WeightsKey, at: float = 0.0) -> int:
         return self.handover.forward(
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""An engine starts again under the id that it had: nothing of before is believed."""
+"""An engine restarts under the same id: its former state is discarded."""
 
 import asyncio
 from dataclasses import replace
@@ -49,7 +49,7 @@
     state = EngineState(make_row(BORN))
     state.apply_report(make_report(BORN, 7, HELD), 1.0)
     state.start_unload(WeightsKey(MODEL, "a1"), 1.1)
-    # Its counts start anew: by its count alone it would be older than the last order.
+    # Order counts restart: by its count alone, the report would predate the last order.
     state.apply_report(make_report(BORN + 9, 0, {}), 2.0)
     assert (state.sequence, state.weights, state.unloading) == (0, {}, {})
     assert state.endpoint.born == BORN + 9
@@ -68,7 +68,7 @@
     rig = LeaderRig()
     try:
         engine = rig.engines["e1"]
-        engine.start_again(BORN + 9)
+        engine.restart(BORN + 9)
         rig.leader.put_endpoint(make_engine_row(engine))
         before = replace(make_engine_row(engine), born=BORN, weights=dict(HELD))
         rig.leader.put_endpoint(before)
@@ -97,7 +97,7 @@
             if rng.random() < 0.1:
                 born += 1
                 engine = rng.choice(list(rig.engines.values()))
-                engine.start_again(born)
+                engine.restart(born)
                 if rng.random() < 0.5:
                     rig.leader.put_endpoint(make_engine_row(engine))
         assert all(engine.overfilled == 0 for engine in rig.engines.values())
--- a/tests/test_issuers.py
+++ b/tests/test_issuers.py
@@ -1,8 +1,8 @@
-"""Endpoints that name a limit are used while no lease holds, and never beyond it.
+"""Rate-limited endpoints are used without a valid lease, and never beyond the limit.
 
-What callers saw: with the store away for longer than a lease, nothing was sent to
-endpoints that named a limit, nor was it ever noticed that a limit was over; after the
-loss of a leader the same, for some seconds, where daemons were many.
+Guards against a failure in which, with the store unreachable for longer than a lease,
+no requests were sent to rate-limited endpoints and the end of a limit went unnoticed.
+In large fleets the same happened for some seconds after the loss of a leader.
 """
 
 import asyncio
@@ -14,14 +14,14 @@
 from tests.test_limits import Load, find_holder, list_plain, run_daemons
 from tests.windows import compute_allowed, count_max_in_window
 
-# Every lease is over so long after the store has gone away.
+# Every lease has expired this long after the store became unreachable.
 LEASE_EXPIRY_TIME = 8.0
-# Requests a second of all daemons together.
+# Requests per second of all daemons together.
 REQUEST_RATE = 50.0
 
 
 def set_limits(rig: FleetRig, limit: float) -> list[PlatformEngine]:
-    """Have the endpoints of the plain service name a limit; return them."""
+    """Set a limit at the endpoints of the plain service; return them."""
     engines = list_plain(rig)
     for engine in engines:
         engine.limit = limit
@@ -44,7 +44,7 @@
 async def test_limits_named_without_a_valid_lease_are_used_and_removed(
     daemons: int, limit: float
 ) -> None:
-    # Guards against leaders that are heard, hold no lease, and so lend nothing.
+    # Guards against reachable leaders that issue no credits because no lease is valid.
     async with run_daemons(daemons) as rig:
         loop = asyncio.get_running_loop()
         rig.store.faults.set(down=True)
@@ -65,7 +65,8 @@
 
 
 async def test_a_limit_is_fully_used_soon_after_the_store_is_back() -> None:
-    # Guards against bursts as leases hold again, and against lending on by the part.
+    # Guards against bursts once leases are valid again, and against issuing only the
+    # unleased fraction of the limit from then on.
     async with run_daemons(6) as rig:
         loop = asyncio.get_running_loop()
         engines = set_limits(rig, 8.0)
@@ -85,7 +86,7 @@
 
 
 async def test_only_holder_of_an_adapter_is_used_within_its_limit() -> None:
-    # Guards against callers who get nothing where nothing can be loaded elsewhere.
+    # Guards against refusing all requests if the adapter can't be loaded elsewhere.
     async with run_daemons(6) as rig:
         engine = await find_holder(rig, "a1")
         engine.limit = 4.0
@@ -103,7 +104,7 @@
 
 @pytest.mark.parametrize("stop", [False, True])
 async def test_a_limit_is_used_while_a_lost_leader_has_no_successor(stop: bool) -> None:
-    # Guards against many daemons that wait for the lease before anybody lends.
+    # Guards against large fleets in which no daemon issues credits without the lease.
     async with run_daemons(14) as rig:
         loop = asyncio.get_running_loop()
         engines = set_limits(rig, 8.0)
--- a/tests/test_issuersim.py
+++ b/tests/test_issuersim.py
@@ -1,4 +1,4 @@
-"""Whoever lends, in virtual time: a limit holds as leases change hands."""
+"""Simulated credit issuers keep a limit across lease changes."""
 
 import pytest
 
@@ -12,7 +12,8 @@
 def test_issuers_keep_a_limit_across_lease_changes(
     daemons: int, limit: float, seed: int
 ) -> None:
-    # Guards against two who lend all of a limit, and parts that add up beyond it.
+    # Guards against two issuers of the whole limit, and against fractions that add up
+    # to more than the limit.
     simulation = Simulation(seed, daemons, limit).run()
     assert simulation.max_in_window <= compute_allowed(limit)
 
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -1,4 +1,4 @@
-"""The leader's books and orders against engines that answer late or not at all."""
+"""The leader's state and orders with engines that answer late or not at all."""
 
 import asyncio
 from dataclasses import replace
@@ -39,7 +39,7 @@
 
 
 async def test_load_wait_is_unknown_while_no_leader_can_order() -> None:
-    # Guards against requests held by the word of a leader whose lease is over.
+    # Guards against requests that wait for a leader whose lease has expired.
     rig = LeaderRig()
     await asyncio.sleep(1.0)
     assert rig.leader.estimate_load_wait() < 0.5
@@ -47,17 +47,17 @@
     rig.lease.compute_order_wait = lambda: None
     await asyncio.sleep(0.2)
     assert rig.leader.estimate_load_wait() == UNKNOWN_LOAD_WAIT
-    # Another leader that may order is waited for.
+    # Requests wait for another leader that can order.
     rig.leader.get_remote_wait = lambda: 0.25
     assert rig.leader.estimate_load_wait() < 0.5
     rig.close()
 
 
 async def test_load_polling_adapts_when_loads_become_quick_again() -> None:
-    """Play slow loads, then quick ones, and time when these are known to have come.
+    """Run slow loads, then quick ones, and measure when their end is detected.
 
-    The request for the last of twelve adapters waits 0.44 s, an unload before its load
-    included; it waited 0.86 s where the mean of loads told when to ask after them.
+    The request for the last of twelve quick adapters waits 0.44 s, including an unload
+    before the load. It waited 0.86 s when polling started by the mean load time.
     """
     rig = LeaderRig()
     await asyncio.sleep(1.0)
@@ -78,8 +78,8 @@
 
 
 async def test_unanswered_order_is_resent_immediately() -> None:
-    # scale-1 of the radar tiles' days: with a third of the orders unanswered, each
-    # such order kept its engine from others for 0.5 s and more.
+    # Guards against a failure with a third of the orders unanswered, in which each such
+    # order blocked its engine for 0.5 s or more.
     rig = LeaderRig()
     await asyncio.sleep(1.0)
     rig.client.lost_orders = 1
@@ -96,7 +96,7 @@
     empty = FakeEngine("e3", "north")
     empty.has_model = False
     rig.engines["e3"] = empty
-    empty.record(asyncio.get_running_loop().time())
+    empty.write_report(asyncio.get_running_loop().time())
     rig.leader.put_endpoint(make_engine_row(empty))
     await asyncio.sleep(2.0)
     assert empty.has_model
@@ -201,8 +201,8 @@
 
 @pytest.mark.parametrize("crowded", [True, False])
 async def test_replica_is_loaded_when_all_holders_are_full(crowded: bool) -> None:
-    # trouble-1 of the grown ondalunga-catchup: three engines refused 4,700 requests
-    # for adapters that only they held, while the others had room.
+    # Guards against a failure in which three engines refused 4,700 requests for
+    # adapters that only they held, while other engines had free capacity.
     engine = make_view("e1", "north", make_held("cold", 0.1))
     requested = replace(
         make_requested("hot", 0, rate=1.0),
@@ -214,8 +214,8 @@
 
 
 async def test_engine_failing_most_requests_is_quarantined() -> None:
-    # scale-1 of the grown dala-points: engines that went down and up by turns lost
-    # 300 requests, for no daemon alone saw enough of them.
+    # Guards against a failure in which engines that kept restarting lost 300 requests,
+    # because no single daemon observed enough failures.
     rig = LeaderRig()
     await asyncio.sleep(1.0)
     rig.ask(7)
@@ -277,7 +277,7 @@
     rig.ask(8)
     await asyncio.sleep(2.9)
     assert not rig.is_held(8)
-    # What it is asked for is still waited for as its rest ends.
+    # The request still waits when the backoff ends.
     rig.ask(8)
     await asyncio.sleep(1.0)
     assert rig.is_held(8)
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -1,4 +1,4 @@
-"""Who may give orders: one holder at a time, apart from the one before."""
+"""Leases: one holder at a time can order, separated from the former holder."""
 
 import asyncio
 from dataclasses import dataclass, field, replace
@@ -29,14 +29,14 @@
 pytestmark = pytest.mark.looptime
 
 HOLDER_GAP = 3.0
-# From the last fault until somebody orders: an unchanged lease, its validity, and the
-# time apart, with the pauses between looks.
+# From the last fault until a daemon orders: the takeover delay, the validity and the
+# holder gap, with the intervals between reads.
 RECOVERY_TIME = 20.0
 DATA_CENTRE = "north"
 
 
 class FakeStore:
-    """One kind of objects with revisions, kept by all views of it."""
+    """Objects of one kind with revisions, shared by all views."""
 
     def __init__(self) -> None:
         self.objects: dict[str, StoredObject] = {}
@@ -45,11 +45,11 @@
         self._backup: tuple[dict[str, StoredObject], int] = ({}, 0)
 
     def take_backup(self) -> None:
-        """Make a copy."""
+        """Take a backup."""
         self._backup = dict(self.objects), self.number
 
     def restore(self, writes_since: int = 0) -> None:
-        """Come back from the last copy, after others have made some changes."""
+        """Restore the last backup, with some writes by others since."""
         objects, self.number = self._backup
         self.number += writes_since
         self.era += 1
@@ -60,7 +60,7 @@
 
 
 class StoreView:
-    """A daemon's way to the store, with faults of its own."""
+    """A daemon's connection to the store, with its own faults."""
 
     def __init__(self, store: FakeStore) -> None:
         self._store = store
@@ -106,7 +106,7 @@
             raise StaleEra("before")
         await self._call()
         current = self._store.objects.get(name)
-        # The store compares numbers only: it is told no era.
+        # The store compares numbers only, as it is not sent the era.
         if current is None or current.revision.number != revision.number:
             raise Conflict(current)
         written = self._write(name, content)
@@ -126,7 +126,7 @@
 
 @dataclass
 class Candidate:
-    """A daemon that wants the lease."""
+    """A daemon that competes for the lease."""
 
     vm: str
     view: StoreView
@@ -170,7 +170,7 @@
     started_at = loop.time()
     while not candidate.lease.can_order():
         await asyncio.sleep(0.01)
-        assert loop.time() - started_at < limit, f"{candidate.vm} may not order"
+        assert loop.time() - started_at < limit, f"{candidate.vm} cannot order"
     return loop.time() - started_at
 
 
@@ -243,9 +243,10 @@
 async def wait_until_resigning(
     holder: Candidate, remote_renewed_at: float | None = None
 ) -> float:
-    """Ask as a daemon does until the holder is to resign; return how long it took.
+    """Poll as a daemon does until the holder should resign; return the elapsed time.
 
-    Others read the store all the while, and renew unless it is told when they last did.
+    Others read the store continuously, and renew too unless ``remote_renewed_at`` is
+    given as the time of their last renewal.
     """
     clock = asyncio.get_running_loop().time
     started_at = clock()
@@ -272,7 +273,7 @@
 
 
 async def test_a_holder_does_not_resign_when_the_store_is_down_for_all() -> None:
-    # With a silent store all leaders would give up at once, and wait once it is back.
+    # Otherwise all leaders would resign during an outage and wait after the recovery.
     store = FakeStore()
     first, other = make_candidate(store, "a"), make_candidate(store, "b")
     other.lease.data_centre = "south"
@@ -289,8 +290,9 @@
 
 
 async def test_no_holder_resigns_as_the_store_returns_to_all() -> None:
-    # The store was away for 8 s. When it was back another's renewal came first, and
-    # two of five holders gave up before they had tried their own again.
+    # Guards against a failure after an outage of the store of 8 s: another holder's
+    # renewal succeeded first, and two of five holders resigned before they had retried
+    # their own.
     store = FakeStore()
     first = make_candidate(store, "a")
     first.start()
@@ -310,8 +312,9 @@
 
 
 async def test_cut_off_holder_resigns_though_all_holders_are_cut_off() -> None:
-    # scale-2 of the grown dala-points: all three leaders were cut from the store, and
-    # knew of its answers from each other only, while their followers read it.
+    # Guards against a failure in which all three leaders were cut off from the store
+    # and learned of its answers only from each other, while their followers could read
+    # it.
     store = FakeStore()
     first = make_candidate(store, "a")
     first.start()
@@ -321,7 +324,7 @@
     elapsed = await wait_until_resigning(first, remote_renewed_at=local_read_at)
     assert elapsed < VALIDITY - 1.0
     now = asyncio.get_running_loop().time()
-    # With own reads that are answered the store only takes no writes.
+    # If own reads are answered, the store merely accepts no writes.
     assert not first.lease.should_resign(
         local_read_at, remote_read_at=now, local_read_at=now
     )
@@ -340,7 +343,7 @@
 
 
 async def test_order_wait_is_unknown_after_lease_expiry() -> None:
-    # Guards against loads that are promised soon while none can be ordered.
+    # Guards against announcing a short load wait while no load can be ordered.
     holder = make_candidate(FakeStore(), "a")
     holder.start()
     await wait_until_ordering(holder, 1.0)
@@ -413,13 +416,13 @@
     lost = second.lease.fence
     second.kill()
     store.restore()
-    # It knows the copy only, in which the first one holds the lease.
+    # The third daemon only knows the backup, in which the first one holds the lease.
     third = make_candidate(store, "c")
     third.start()
     stopped_at = asyncio.get_running_loop().time()
     await wait_until_ordering(third, 20.0)
     assert third.lease.fence > lost
-    # The second one's last order may have left so late.
+    # The second daemon's last order may have been sent this late.
     passed = asyncio.get_running_loop().time() - stopped_at
     assert passed >= VALIDITY + HOLDER_GAP
 
@@ -467,7 +470,7 @@
     for daemon in daemons:
         daemon.view.down = daemon.view.drops_answers = False
         daemon.view.latency = 0.004
-    # Whoever takes it waits for what the store may have lost, and then orders.
+    # The next holder waits for holders that a restore may have lost, and then orders.
     await asyncio.sleep(RECOVERY_TIME)
     assert any(each.lease.can_order() for each in daemons)
 
@@ -475,8 +478,8 @@
 async def run_with_faults(
     seed: int, faults: tuple[str, ...], monkeypatch: pytest.MonkeyPatch
 ) -> tuple[list[Candidate], int]:
-    """Disturb four daemons at random; return them and the highest number seen."""
-    # Also what leases draw by themselves is the same for each seed.
+    """Inject random faults in four daemons; return them and the highest fence."""
+    # The leases' own random numbers depend on the seed too.
     monkeypatch.setattr("kestreltally.placing.lease.random", Random(seed))
     monkeypatch.setattr("kestreltally.placing.leasemonitor.random", Random(seed))
     random = Random(seed)
@@ -514,7 +517,8 @@
     if fault == "keep":
         store.take_backup()
     elif fault == "come back":
-        # Some seconds at the most are lost, and others' writes move the numbers on.
+        # A few seconds of writes are lost at most, and others' writes raise the
+        # revision number.
         store.restore(random.choice([0, 0, 1, 2, 5, 50]))
         store.take_backup()
     elif fault == "restart":
--- a/tests/test_limit_table.py
+++ b/tests/test_limit_table.py
@@ -1,4 +1,4 @@
-"""Limits as they are read, told and lent: the parts, without sockets."""
+"""Rate limits: parsing, sharing and issuing of credits, without sockets."""
 
 from dataclasses import replace
 from itertools import permutations
@@ -76,11 +76,11 @@
     assert standing.receive(LIMITED, NOW, NOW + 0.1, from_request=True)
     assert not standing.receive(EMPTY_NOTICE, NOW + 0.05, NOW + 0.2, from_request=True)
     assert standing.limit == 2.0
-    # Reports and orders may not tell limits at all.
+    # Answers to report reads and orders may not carry limits at all.
     assert not standing.receive(EMPTY_NOTICE, NOW + 0.2, NOW + 0.3, from_request=False)
     assert standing.receive(EMPTY_NOTICE, NOW + 0.3, NOW + 0.4, from_request=True)
     assert standing.limit is None
-    # Where they do, they end them too.
+    # If they do, they also end them.
     standing.receive(LIMITED, NOW + 1, NOW + 1, from_request=False)
     assert standing.receive(EMPTY_NOTICE, NOW + 2, NOW + 2, from_request=False)
     assert standing.limit is None
@@ -128,7 +128,7 @@
     assert second.is_rate_limited(ENDPOINT)
     second.record(ENDPOINT, EMPTY_NOTICE, NOW + 1)
     for after in range(1, 70):
-        # They tell each other all the time.
+        # Both report to each other continuously.
         first.apply_reported(second.list_known(NOW + after), NOW + after)
         second.apply_reported(first.list_known(NOW + after), NOW + after)
         assert not first.is_rate_limited(ENDPOINT)
@@ -164,7 +164,7 @@
     assert table.compute_backoff(ENDPOINT, NOW) == 3.0
     with pytest.raises(Unavailable):
         table.start_send(ENDPOINT, NOW + 1)
-    # After the rest, one tries it, with its turn.
+    # After the backoff, one request with a credit probes the endpoint.
     assert table.start_send(ENDPOINT, NOW + 3)
     assert limit.credits == []
     table.record(ENDPOINT, replace(LEAVING, limit=2.0), NOW + 4)
@@ -182,7 +182,7 @@
     assert limit is not None
     limit.credits += [NOW + 0.4, NOW + 0.2]
     table.start_send(ENDPOINT, NOW + 0.1)
-    # The one that ended first was used first.
+    # The credit that expires first was used first.
     assert limit.credits == [NOW + 0.4]
     with pytest.raises(Unavailable):
         table.start_send(ENDPOINT, NOW + 0.4)
@@ -231,7 +231,7 @@
 
 
 class Rig:
-    """A lender and its borrowers, with a clock to be set."""
+    """A credit issuer and its holders, with a manual clock."""
 
     def __init__(self, count: int, limit: float) -> None:
         self.now = NOW
@@ -259,7 +259,7 @@
     order = []
     for _ in range(6):
         before = rig.list_lent()
-        # Time for one turn.
+        # Advance until one credit is issued.
         while rig.list_lent() == before:
             rig.now += 0.05
             rig.issue()
@@ -277,7 +277,7 @@
         rig.now += 0.1
         assert rig.issue() is None
     assert holder.issued[E] == 2
-    # The next report knows of one, and that another request has come.
+    # The next report acknowledges one credit, and another request has arrived.
     holder.requested, holder.received = {E: {2: 2}}, {E: 1}
     rig.now += 0.1
     rig.issue()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,15 +1,11 @@
-"""A limit that an endpoint names holds over all daemons together.
-
-What users saw: two engines named in their answers how many requests a second they take
-from all daemons together, 4.5 and 2.9. Three seconds later they got 59 and 43 in 4 s.
-
-The order of events: an engine answers (200), and its answer's head names the limit.
-Daemons hand the answer on, choose endpoints as before, and the leader orders as before.
-
-The cause: nobody read the header; and nothing in the program kept a sum of a few calls
-over all daemons, so that reading it would not have been enough. The evidence: before
-anything was changed, each of six daemons counted it as a word that nobody reads (4 to
-30 times in 3 s), while 101 requests reached the endpoint, as before its word.
+"""A rate limit named by an endpoint holds over all daemons together.
+
+Guards against a failure in which two engines named limits of 4.5 and 2.9 requests per
+second for all daemons together, but got 59 and 43 requests in 4 s three seconds later.
+The limit is in a header of the engine's answers (status 200). Daemons did not read the
+header (each of six counted it 4 to 30 times in 3 s as unread), chose endpoints and
+ordered loads as before, and nothing limited a small number of calls over all daemons,
+so reading the header alone would not have been enough.
 """
 
 import asyncio
@@ -22,7 +18,7 @@
 from tests.test_fleet_daemon import FleetRig, run_fleet
 from tests.windows import compute_allowed, count_max_in_window
 
-# The rule holds from so long after the word on.
+# The rule applies from this long after the limit is named.
 PROPAGATION_TIME = 1.5
 
 
@@ -39,7 +35,7 @@
 
 
 class Load:
-    """Asks each daemon some times a second, and keeps what came of it."""
+    """Sends requests to each daemon at a fixed rate and records the results."""
 
     def __init__(self, rig: FleetRig, path: str, adapter: str, pause: float) -> None:
         self._rig, self._path, self._adapter = rig, path, adapter
@@ -94,7 +90,7 @@
         await load.run(7.0)
         most = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
         assert most <= compute_allowed(engine.limit)
-        # The other endpoint has room for all.
+        # The other endpoint can serve all requests.
         assert load.count_refused() == 0
 
 
@@ -121,7 +117,7 @@
         over_at = asyncio.get_running_loop().time()
         await load.run(4.0)
         assert load.count_refused() == 0
-        # Half of what is asked for, of which the limit was a tenth.
+        # Half of the endpoint's share of the requests; the limit was a tenth of it.
         late = [at for at in engine.arrivals if at > over_at + 2.0]
         assert len(late) > 2.0 * 6 / 0.1 / 2 / 2
 
@@ -139,7 +135,7 @@
             for vm, daemon in rig.daemons.items()
             if daemon._leases[engine.zone].leads
         ]
-        # Its clients go on asking it, in vain.
+        # Its clients keep sending requests, which fail.
         await rig.daemons[issuer].close()
         await asyncio.gather(running, return_exceptions=True)
         most = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
@@ -169,7 +165,7 @@
         for engine in engines:
             engine.limit = 8.0
         rig.store.faults.set(down=True)
-        # Every lease is over by then.
+        # Every lease has expired by then.
         await asyncio.sleep(8.0)
         load = Load(rig, "/a/x", "", 0.2)
         await load.run(4.0)
--- a/tests/test_loadlimiter.py
+++ b/tests/test_loadlimiter.py
@@ -1,4 +1,4 @@
-"""Loads of models keep the ceiling over all leaders, as leases change hands."""
+"""The rate limit on model loads holds over all leaders across lease transfers."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -18,7 +18,7 @@
 
 @dataclass
 class HeldLease:
-    """One daemon's time with a lease."""
+    """The period in which one daemon holds a lease."""
 
     orders_from: float
     until: float
@@ -31,7 +31,7 @@
 
 
 def transfer_lease(daemons: list[Daemon], lease: int, rng: Random, now: float) -> None:
-    """Have a lease taken while its former holder may still order for a moment."""
+    """Transfer a lease while its former holder can still order for a short time."""
     for former in daemons:
         if lease in former.held_leases:
             former.held_leases[lease].until = now + VALIDITY - TAKEOVER_DELAY
@@ -41,7 +41,7 @@
 
 
 def simulate(seed: int, rate: float) -> list[float]:
-    """Return when loads began, with engines that want as many as they may have."""
+    """Return the start times of loads, with unlimited demand for loads."""
     rng = Random(seed)
     daemons = [Daemon(LoadLimiter(BOUNDS, 0.0)) for _ in range(DAEMONS)]
     for lease in range(LEASES):
@@ -70,7 +70,8 @@
 
 @pytest.mark.parametrize("rate", [1.0, 4.4, 9.3, 33.0])
 def test_loads_of_models_keep_the_ceiling_over_three_leaders(rate: float) -> None:
-    # Guards against leaders whose parts add up beyond the rate as leases change hands.
+    # Guards against leaders whose fractions add up to more than the rate during lease
+    # transfers.
     window = BOUNDS.load_window
     for seed in range(40):
         most = count_max_in_window(simulate(seed, rate), 0.0, window)
--- a/tests/virtualtime.py
+++ b/tests/virtualtime.py
@@ -1,4 +1,4 @@
-"""Virtual time for simulations: what is due is done in its order, at its moment."""
+"""Virtual time for simulations: runs callbacks in order of their due time."""
 
 from collections.abc import Callable
 from heapq import heappop, heappush
@@ -14,15 +14,15 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
     def at(self, due_at: float, callback: Callable[[], None]) -> None:
-        """Have something done at a moment, after what is due then already."""
+        """Schedule a callback, after others already due at the same time."""
         heappush(self._events, (due_at, next(self._numbers), callback))
 
     def after(self, delay: float, callback: Callable[[], None]) -> None:
-        """Have something done after a while."""
+        """Schedule a callback after a delay."""
         self.at(self.now + delay, callback)
 
     def run_until(self, end: float) -> None:
-        """Do what is due before a moment."""
+        """Run all callbacks due before ``end``."""
         while self._events and self._events[0][0] < end:
             self.now, _, callback = heappop(self._events)
             callback()
