--- a/src/kestreltally/entry/upstream.py
+++ b/src/kestreltally/entry/upstream.py
@@ -142,8 +142,8 @@
 
         A faulty endpoint may send a second answer to an earlier request. Such answers
         are skipped, and the channel is not kept. Without a ``request_id`` any answer is
-        accepted. Raises ``Unavailable`` if nothing was sent, and ``AnswerLost`` once any
-        byte may have been sent.
+        accepted. Raises ``Unavailable`` if nothing was sent, and ``AnswerLost`` once
+        any byte may have been sent.
         """
         protocol = self._protocol
         transport = protocol.transport
--- a/src/kestreltally/fleet_daemon.py
+++ b/src/kestreltally/fleet_daemon.py
@@ -237,7 +237,7 @@
         leader.prefill_times = self._relay.finder.prefill_times
         leader.list_uses = self._exchange.list_uses
         leader.get_remote_wait = self._exchange.get_min_load_wait
-        leader.handover.can_hand_over = self._exchange.can_hand_over
+        leader.handover.can_load_quickly = self._exchange.can_load_quickly
         leader.handover.get_free_capacity = self._exchange.get_free_capacity
         leader.handover.expedite = self._exchange.expedite
         return leader
--- a/src/kestreltally/knowledge/credits.py
+++ b/src/kestreltally/knowledge/credits.py
@@ -211,14 +211,14 @@
     def apply_report(self, peer: Peer, report: Any) -> None:
         """Record the credits that a daemon requests, and issue or request them."""
         credit_holder = peer.credit_holder
-        credit_holder.wanted = {}
+        credit_holder.requested = {}
         for row in report.wanted or ():
             name = EndpointId(row.endpoint)
-            credit_holder.wanted[name] = dict(row.counts or {})
+            credit_holder.requested[name] = dict(row.counts or {})
             credit_holder.received[name] = row.received
         if not self._leaders.leads:
             return
-        for name, requested in credit_holder.wanted.items():
+        for name, requested in credit_holder.requested.items():
             known = self._fleet.endpoints.get(name)
             # Credits that no call waits for yet are issued in the leader's next rounds.
             if known is None or all(
--- a/src/kestreltally/knowledge/exchange.py
+++ b/src/kestreltally/knowledge/exchange.py
@@ -325,7 +325,7 @@
         ]
         return self.leader.list_unmet() if available[:1] == [data_centre] else []
 
-    def can_hand_over(self, data_centre: str) -> bool:
+    def can_load_quickly(self, data_centre: str) -> bool:
         """Return whether another data centre's leader can load kept copies now."""
         client = self.leaders.clients.get(data_centre)
         return client is not None and client.can_load_within(MAX_HANDOVER_LOAD_WAIT)
--- a/src/kestreltally/quotas/limiters.py
+++ b/src/kestreltally/quotas/limiters.py
@@ -169,7 +169,7 @@
                 # A throttled organisation must not use what filled up in the meantime.
                 share.isolated_bucket.level = min(share.isolated_bucket.level, 1.0)
                 share.isolated_bucket.at = now
-        granted = share.isolated_bucket.take(units, rate, ISOLATED_DEPTH * rate, now)
+        granted = share.isolated_bucket.acquire(units, rate, ISOLATED_DEPTH * rate, now)
         return None if granted else ISOLATED_WAIT
 
     def _compute_fraction(self, share: LocalShare) -> float:
@@ -225,7 +225,7 @@
         now: Seconds,
     ) -> bool:
         rate = self._compute_fraction(share) * grant.rate
-        return share.allotted_bucket.take(units, rate, SHARE_DEPTH * rate, now)
+        return share.allotted_bucket.acquire(units, rate, SHARE_DEPTH * rate, now)
 
 
 @register_limiter("equal")
@@ -244,6 +244,6 @@
         depth = grant.burst / max(1, self.daemons)
         return (
             None
-            if share.allotted_bucket.take(units, rate, depth, now)
+            if share.allotted_bucket.acquire(units, rate, depth, now)
             else ISOLATED_WAIT
         )
--- a/tests/issuersim.py
+++ b/tests/issuersim.py
@@ -248,7 +248,7 @@
             if primary is not None:
                 self.groups[primary] += 1
                 if primary is not daemon:
-                    daemon.headcount.record(primary.headcount.most or 1, self.now)
+                    daemon.headcount.record(primary.headcount.maximum or 1, self.now)
         for daemon in self.list_leaders():
             if self._is_running(daemon):
                 owner = self._find_holder(daemon, LOCAL)
@@ -274,7 +274,7 @@
             group += sum(asking)
         elif self.now - daemon.owner_received_at < FEED_SILENCE_TIMEOUT:
             return None
-        return compute_unleased_terms(self.limit, group, daemon.headcount.most or 0)
+        return compute_unleased_terms(self.limit, group, daemon.headcount.maximum or 0)
 
     # Results.
 
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -16,7 +16,7 @@
 from tests.test_fleet_daemon import (
     FleetRig,
     make_configuration,
-    read_runs,
+    read_versions,
     run_fleet,
 )
 
@@ -51,7 +51,7 @@
             for vm in rig.daemons:
                 name = f"a{number}{vm[0]}"
                 reply = await rig.ask(vm, "/m/x", name, f"q-{name}")
-                assert reply.whole and read_runs(reply) == {f"{name}@1"}
+                assert reply.whole and read_versions(reply) == {f"{name}@1"}
         check_orders(rig)
         assert all(each._exchange.leaders.leads for each in rig.daemons.values())
 
@@ -93,7 +93,7 @@
             await asyncio.sleep(0.1)
             assert (await rig.ask("south-1", "/a/x")).status == 200
             reply = await rig.ask("north-1", "/m/x", "a1", f"q-{number}")
-            assert reply.whole and read_runs(reply) == {"a1@1"}
+            assert reply.whole and read_versions(reply) == {"a1@1"}
 
 
 async def test_leaving_endpoint_stays_unused_after_restore() -> None:
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -321,7 +321,7 @@
         known = set(exchange._fleet.endpoints)
         lease = LeaseRow(data_centre="north", fence=1, revision=1)
         update = Update(leader="x", leads=[lease], whole=True, rows=[])
-        exchange._take_update("north", update)
+        exchange._apply_update("north", update)
         assert known and set(exchange._fleet.endpoints) == known
 
 
