--- a/bench/faultsoak/witness.py
+++ b/bench/faultsoak/witness.py
@@ -153,7 +153,7 @@
         self._check_quota(endpoints)
         for endpoint in endpoints:
             self._check_orders(endpoint)
-            self._prune_unloading(endpoint)
+            self._check_leaving(endpoint)
         self._check_stops()
         self._check_poison(endpoints)
 
@@ -271,7 +271,7 @@
                     f"{engine.id}: {next_holder} {later - at:.2f} s after {holder}"
                 )
 
-    def _prune_unloading(self, endpoint: SoakEndpoint) -> None:
+    def _check_leaving(self, endpoint: SoakEndpoint) -> None:
         if endpoint.leaving_at is not None:
             last = endpoint.leaving_at + DRAIN + SLACK
             for name, at in endpoint.engine.run_times.items():
--- a/src/kestreltally/placing/endpointhealth.py
+++ b/src/kestreltally/placing/endpointhealth.py
@@ -32,7 +32,7 @@
     """Decayed request outcomes at one endpoint, as of ``at``."""
 
     at: Seconds
-    whole: float = 0.0
+    succeeded: float = 0.0
     failed: float = 0.0
     quarantined_until: Seconds = float("-inf")
     quarantine_count: int = 0
@@ -40,7 +40,7 @@
     def decay(self, now: Seconds) -> None:
         """Decay the outcomes to the given time."""
         factor = math.exp(-max(0.0, now - self.at) / OUTCOME_DECAY_TIME)
-        self.whole *= factor
+        self.succeeded *= factor
         self.failed *= factor
         self.at = now
 
@@ -55,7 +55,7 @@
         """Record outcomes of requests at an endpoint."""
         row = self._rows.setdefault(outcome.endpoint, EndpointHealth(now))
         row.decay(now)
-        row.whole += outcome.whole
+        row.succeeded += outcome.whole
         row.failed += outcome.failed
 
     def is_quarantined(self, endpoint: EndpointId, now: Seconds) -> bool:
@@ -71,7 +71,7 @@
         row.decay(now)
         if row.failed < MIN_FAILURES:
             return False
-        return row.failed >= MIN_FAILED_FRACTION * (row.failed + row.whole)
+        return row.failed >= MIN_FAILED_FRACTION * (row.failed + row.succeeded)
 
     def quarantine(self, endpoint: EndpointId, now: Seconds) -> Seconds:
         """Quarantine an endpoint; return the duration."""
@@ -82,7 +82,7 @@
         row.quarantined_until = now + pause
         row.quarantine_count += 1
         # Only outcomes after the quarantine count for the next evaluation.
-        row.whole = row.failed = 0.0
+        row.succeeded = row.failed = 0.0
         return pause
 
     def remove(self, endpoint: EndpointId) -> None:
--- a/src/kestreltally/placing/enginestate.py
+++ b/src/kestreltally/placing/enginestate.py
@@ -131,8 +131,8 @@
     def count_occupied(self) -> int:
         """Return how many adapter places are, or may be, occupied."""
         held = {key for key in self.weights if key.adapter}
-        coming = {key for key in self.incoming if key.adapter}
-        return len(held | coming | self.unloading.keys())
+        loading = {key for key in self.incoming if key.adapter}
+        return len(held | loading | self.unloading.keys())
 
     def count_free(self, spec: EngineSpec) -> int:
         """Return how many adapter places are known to be free."""
--- a/src/kestreltally/placing/leader.py
+++ b/src/kestreltally/placing/leader.py
@@ -320,10 +320,10 @@
             [lease.can_order() for lease in self._leases.values()]
         )
         limiter.refill(fraction * spec.loads_per_second, now)
-        able = [b for b in engines if self._can_take_order(b, now)]
-        able = self._order_models(able, spec, limiter)
-        able = self._order_versions(able, limiter)
-        self._order_adapters(service, spec, open_engines, able, now)
+        ready = [b for b in engines if self._can_take_order(b, now)]
+        ready = self._order_models(ready, spec, limiter)
+        ready = self._order_versions(ready, limiter)
+        self._order_adapters(service, spec, open_engines, ready, now)
 
     def _needs_report(self, state: EngineState, now: Seconds) -> bool:
         if state.endpoint.leaving or now < state.failing_until:
--- a/src/kestreltally/placing/lease.py
+++ b/src/kestreltally/placing/lease.py
@@ -83,8 +83,8 @@
 
 def compute_weak_wait(strength: MachineCapacity) -> Seconds:
     """Return how long a machine leaves a free lease to stronger machines."""
-    weak = strength.cores < MIN_LEADER_CORES or strength.link_mbps < MIN_LEADER_MBPS
-    return WEAK_WAIT if weak else 0.0
+    is_weak = strength.cores < MIN_LEADER_CORES or strength.link_mbps < MIN_LEADER_MBPS
+    return WEAK_WAIT if is_weak else 0.0
 
 
 class Lease:
@@ -120,7 +120,7 @@
         self._failed_sent_at: Seconds = float("-inf")
         self._behind_since: Seconds | None = None
         self._not_before: Seconds = float("-inf")
-        self._resigned: dict[int, Seconds] = {}
+        self._resigned_at: dict[int, Seconds] = {}
         self.leads = False
         self._acquired = asyncio.Event()
         # Called when this daemon becomes the holder.
@@ -162,7 +162,7 @@
 
     def record_resigned(self, fence: int) -> None:
         """Record that the holder of a fence has announced its resignation."""
-        self._resigned.setdefault(fence, self._clock())
+        self._resigned_at.setdefault(fence, self._clock())
 
     def _observe(self, revision: Revision) -> ObservedRevision:
         observed = self.observed
@@ -195,7 +195,7 @@
     async def _renew(self) -> None:
         record, observed = self.record, self.observed
         if record is None or observed is None:
-            self._lose("no record of a held lease")
+            self._record_lost("no record of a held lease")
             return
         sent_at = self._clock()
         updated = replace(
@@ -223,7 +223,7 @@
         found = LeaseRecord.decode(stored.content) if stored is not None else None
         record, sent_at = self.record, self._clock()
         if record is None or not self._can_continue(record, found, sent_at):
-            self._lose("store restored from a backup")
+            self._record_lost("store restored from a backup")
             return
         updated = replace(record, quiet=self._compute_order_wait(), era=self._store.era)
         try:
@@ -261,7 +261,7 @@
         current = conflict.current
         found = LeaseRecord.decode(current.content) if current is not None else None
         if current is None or found is None or found.boot != self._boot:
-            self._lose(f"taken by {found.holder if found else 'nobody'}")
+            self._record_lost(f"taken by {found.holder if found else 'nobody'}")
             return
         # An own earlier renewal: it proves nothing about the time of this one.
         self.record = replace(updated, renewals=max(found.renewals, updated.renewals))
@@ -275,7 +275,7 @@
         self._valid_until = sent_at + VALIDITY
         self._renewed_at = self._clock()
 
-    def _lose(self, reason: str) -> None:
+    def _record_lost(self, reason: str) -> None:
         log_decision(
             LOG,
             Decision.LEASE_LOST,
@@ -311,9 +311,9 @@
         holder behind the others.
         """
         local_answered_at = max(self._renewed_at, local_read_at)
-        renewed = remote_renewed_at - self._renewed_at > RESIGN_DELAY
+        renewals_behind = remote_renewed_at - self._renewed_at > RESIGN_DELAY
         is_behind = self.leads and (
-            renewed or remote_read_at - local_answered_at > RESIGN_DELAY
+            renewals_behind or remote_read_at - local_answered_at > RESIGN_DELAY
         )
         if not is_behind:
             self._behind_since = None
@@ -358,7 +358,7 @@
         extra_wait = self._takeover_wait - TAKEOVER_DELAY
         if self._is_outdated(record):
             return self._takeover_wait
-        if record.fence in self._resigned:
+        if record.fence in self._resigned_at:
             return extra_wait
         if record.released:
             return extra_wait + RELEASED_WAIT
@@ -416,9 +416,9 @@
             # The same VM is the same holder: only its own remaining wait applies.
             return now + former.quiet
         last = observed.since + (0.0 if former.released else VALIDITY)
-        resigned = self._resigned.get(former.fence)
-        if resigned is not None:
-            last = min(last, resigned)
+        resigned_at = self._resigned_at.get(former.fence)
+        if resigned_at is not None:
+            last = min(last, resigned_at)
         return self._compute_start_after(last)
 
     def _compute_start_after(self, last: Seconds) -> Seconds:
@@ -428,7 +428,7 @@
     def _start_leading(self, start: Seconds) -> None:
         self.leads = True
         self._orders_from = start
-        self._resigned.clear()
+        self._resigned_at.clear()
         self._acquired.set()
         self.record_start()
         log_decision(
--- a/src/kestreltally/placing/loads.py
+++ b/src/kestreltally/placing/loads.py
@@ -49,7 +49,7 @@
 TURNOVER_WINDOW: Final[Seconds] = 2.0
 MAX_TURNOVER_LOADS: Final = 256
 # How long an engine that did not answer an order gets no further orders.
-SILENT_PAUSE: Final[Seconds] = 0.2
+UNRESPONSIVE_PAUSE: Final[Seconds] = 0.2
 
 
 class LoadOrigin(Enum):
@@ -117,7 +117,7 @@
             state.require_report(now)
             unreachable = isinstance(error, EngineUnreachable)
             state.unanswered_calls += MAX_UNANSWERED_CALLS if unreachable else 1
-            state.failing_until = now + SILENT_PAUSE
+            state.failing_until = now + UNRESPONSIVE_PAUSE
             log_decision(
                 LOG,
                 Decision.ENGINE_SILENT,
--- a/tests/limitsim.py
+++ b/tests/limitsim.py
@@ -179,13 +179,13 @@
         ]
         self.group_holders = [CreditHolder() for _ in range(GROUPS)]
         self.group_received = [0] * GROUPS
-        self.leaders = [self._make_lender(number) for number in range(GROUPS)]
+        self.leaders = [self._make_issuer(number) for number in range(GROUPS)]
         self.owner = RateLimitState()
         self.owner.apply_reported(self.limit, 1, 0.0)
         self.terms = compute_leased_terms(self.owner.rate)
         self.recheck_at = float("inf")
 
-    def _make_lender(self, number: int) -> CreditIssuer:
+    def _make_issuer(self, number: int) -> CreditIssuer:
         own = CreditHolder()
 
         def list_credit_holders(_: EndpointId) -> list[CreditHolder]:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -102,8 +102,10 @@
 
 def test_copy_holder_with_more_free_capacity_is_asked() -> None:
     rig = HandoverRig({"south": 0, "west": 3})
-    for name, where in (("s1", "south"), ("w1", "west")):
-        engine = replace(make_engine(KEY_1), id=EndpointId(name), data_centre=where)
+    for name, data_centre in (("s1", "south"), ("w1", "west")):
+        engine = replace(
+            make_engine(KEY_1), id=EndpointId(name), data_centre=data_centre
+        )
         rig.fleet.put_endpoint(engine)
         rig.fleet.put_endpoint(replace(engine, weights={}))
     rig.wait(KEY_1)
@@ -113,8 +115,10 @@
 
 def test_adapter_with_a_local_copy_is_not_handed_over() -> None:
     rig = HandoverRig({"south": 5})
-    for name, where in (("s1", "south"), ("n1", LOCAL)):
-        engine = replace(make_engine(KEY_1), id=EndpointId(name), data_centre=where)
+    for name, data_centre in (("s1", "south"), ("n1", LOCAL)):
+        engine = replace(
+            make_engine(KEY_1), id=EndpointId(name), data_centre=data_centre
+        )
         rig.fleet.put_endpoint(engine)
         rig.fleet.put_endpoint(replace(engine, weights={}))
     rig.wait(KEY_1)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -186,9 +186,11 @@
 
 
 async def test_free_place_in_the_demanding_data_centre_is_preferred() -> None:
-    far = make_view("e1", "south")
-    near = make_view("e2", "north")
-    (placed,) = plan_most_missed_first([far, near], [make_requested("new", 1)], 10.0)
+    remote = make_view("e1", "south")
+    local = make_view("e2", "north")
+    (placed,) = plan_most_missed_first(
+        [remote, local], [make_requested("new", 1)], 10.0
+    )
     assert (placed.engine, placed.victim) == ("e2", None)
 
 
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -336,10 +336,10 @@
     former.start()
     await wait_until_ordering(former, 1.0)
     former.kill()
-    again = make_candidate(store, "a", "boot-2")
-    again.start()
-    assert await wait_until_ordering(again, 5.0) < 1.0
-    assert again.lease.fence == 2
+    restarted = make_candidate(store, "a", "boot-2")
+    restarted.start()
+    assert await wait_until_ordering(restarted, 5.0) < 1.0
+    assert restarted.lease.fence == 2
 
 
 async def test_order_wait_is_unknown_after_lease_expiry() -> None:
@@ -371,9 +371,9 @@
     waits = second.lease.compute_order_wait()
     assert waits is not None
     second.kill()
-    again = make_candidate(store, "b", "boot-2")
-    again.start()
-    assert await wait_until_ordering(again, 15.0) >= waits - 0.8
+    restarted = make_candidate(store, "b", "boot-2")
+    restarted.start()
+    assert await wait_until_ordering(restarted, 15.0) >= waits - 0.8
 
 
 async def test_own_write_with_a_lost_answer_is_recognised() -> None:
@@ -423,8 +423,8 @@
     await wait_until_ordering(third, 20.0)
     assert third.lease.fence > lost
     # The second daemon's last order may have been sent this late.
-    passed = asyncio.get_running_loop().time() - stopped_at
-    assert passed >= VALIDITY + HOLDER_GAP
+    elapsed = asyncio.get_running_loop().time() - stopped_at
+    assert elapsed >= VALIDITY + HOLDER_GAP
 
 
 async def test_restarted_former_holder_does_not_claim_a_restored_record() -> None:
@@ -438,15 +438,15 @@
     await wait_until_ordering(second, 15.0)
     second.view.down = True
     store.restore()
-    again = make_candidate(store, "a", "boot-2")
-    again.start()
+    restarted = make_candidate(store, "a", "boot-2")
+    restarted.start()
     ordered_at = 0.0
     for _ in range(2_000):
         await asyncio.sleep(0.01)
-        assert not (again.lease.can_order() and second.lease.can_order())
+        assert not (restarted.lease.can_order() and second.lease.can_order())
         if second.lease.can_order():
             ordered_at = asyncio.get_running_loop().time()
-        elif again.lease.can_order():
+        elif restarted.lease.can_order():
             assert asyncio.get_running_loop().time() - ordered_at >= HOLDER_GAP
 
 
--- a/tests/test_limit_table.py
+++ b/tests/test_limit_table.py
@@ -27,7 +27,7 @@
 
 LIMITED = Notice(leaves=False, rest=0.0, limit=2.0)
 ISSUER_REACHABLE = IssuerState(known=True, daemons=6)
-E = EndpointId("e")
+ENDPOINT_ID = EndpointId("e")
 
 
 @pytest.mark.parametrize(
@@ -100,15 +100,15 @@
 
 
 def test_small_limit_change_is_not_reported() -> None:
-    changes: list[EndpointId] = []
+    reported_changes: list[EndpointId] = []
     table = NoticeTable()
-    table.notify_change = changes.append
+    table.notify_change = reported_changes.append
     for number, limit in enumerate((2.9, 3.1, 2.7, 2.9)):
         table.record(ENDPOINT, replace(LIMITED, limit=limit), NOW + number)
-    assert len(changes) == 1
+    assert len(reported_changes) == 1
     table.record(ENDPOINT, replace(LIMITED, limit=1.0), NOW + 9)
     table.record(ENDPOINT, EMPTY_NOTICE, NOW + 10)
-    assert len(changes) == 3
+    assert len(reported_changes) == 3
 
 
 def test_newest_version_wins_in_any_order() -> None:
@@ -146,7 +146,7 @@
     assert table.is_rate_limited(ENDPOINT)
 
 
-def test_another_start_of_an_endpoint_has_no_limit() -> None:
+def test_new_incarnation_of_an_endpoint_has_no_limit() -> None:
     table = NoticeTable()
     table.record(ENDPOINT, LIMITED, NOW)
     assert table.compute_backoff(ENDPOINT, NOW) > 0
@@ -191,9 +191,9 @@
 def test_requests_ramp_up_after_a_limit_ends() -> None:
     table = NoticeTable()
     table.get_issuer_state = lambda _: ISSUER_REACHABLE
-    told = KnownNotice(ENDPOINT.id, ENDPOINT.born, False, 0.0, 2.0, 1)
-    table.apply_reported([told], NOW)
-    table.apply_reported([replace(told, limit=None, limit_version=2)], NOW + 1)
+    notice = KnownNotice(ENDPOINT.id, ENDPOINT.born, False, 0.0, 2.0, 1)
+    table.apply_reported([notice], NOW)
+    table.apply_reported([replace(notice, limit=None, limit_version=2)], NOW + 1)
     assert table.start_send(ENDPOINT, NOW + 1)
     with pytest.raises(Unavailable):
         table.start_send(ENDPOINT, NOW + 1)
@@ -203,7 +203,7 @@
 def test_without_an_issuer_daemons_keep_to_half_a_limit(
     daemons: int, limit: float
 ) -> None:
-    nobody = IssuerState(known=False, daemons=daemons)
+    no_issuer = IssuerState(known=False, daemons=daemons)
     standings = [RateLimitState() for _ in range(daemons)]
     times = []
     for standing in standings:
@@ -211,8 +211,8 @@
     for step in range(1000):
         now = NOW + step / 100
         for standing in standings:
-            if standing.compute_wait(nobody, now) == 0.0:
-                assert standing.use_credit(nobody, now)
+            if standing.compute_wait(no_issuer, now) == 0.0:
+                assert standing.use_credit(no_issuer, now)
                 times.append(now)
     windows = (sum(at <= each < at + WINDOW for each in times) for at in times)
     assert 0 < max(windows) <= 0.5 * limit * WINDOW + daemons
@@ -223,11 +223,11 @@
 def test_without_an_issuer_many_or_unknown_daemons_send_nothing(
     daemons: int | None,
 ) -> None:
-    nobody = IssuerState(known=False, daemons=daemons)
+    no_issuer = IssuerState(known=False, daemons=daemons)
     standing = RateLimitState()
     standing.apply_reported(2.9, 1, NOW)
-    assert standing.compute_wait(nobody, NOW + 100) > 0
-    assert not standing.use_credit(nobody, NOW + 100)
+    assert standing.compute_wait(no_issuer, NOW + 100) > 0
+    assert not standing.use_credit(no_issuer, NOW + 100)
 
 
 class Rig:
@@ -245,25 +245,25 @@
 
     def issue(self) -> float | None:
         terms = compute_leased_terms(self.limit.rate)
-        return self.issuer.issue(E, 1, self.limit, terms)
+        return self.issuer.issue(ENDPOINT_ID, 1, self.limit, terms)
 
-    def list_lent(self) -> list[int]:
-        return [each.issued[E] for each in self.holders]
+    def list_issued(self) -> list[int]:
+        return [each.issued[ENDPOINT_ID] for each in self.holders]
 
 
 def test_credits_go_to_the_most_urgent_then_the_least_recently_served() -> None:
     rig = Rig(3, 2.0)
-    rig.holders[0].requested = {E: {3: 5}}
-    rig.holders[1].requested = {E: {1: 1, 3: 1}}
-    rig.holders[2].requested = {E: {PREFETCH_URGENCY: 9}}
+    rig.holders[0].requested = {ENDPOINT_ID: {3: 5}}
+    rig.holders[1].requested = {ENDPOINT_ID: {1: 1, 3: 1}}
+    rig.holders[2].requested = {ENDPOINT_ID: {PREFETCH_URGENCY: 9}}
     order = []
     for _ in range(6):
-        before = rig.list_lent()
+        before = rig.list_issued()
         # Advance until one credit is issued.
-        while rig.list_lent() == before:
+        while rig.list_issued() == before:
             rig.now += 0.05
             rig.issue()
-        after = rig.list_lent()
+        after = rig.list_issued()
         order.extend(n for n in range(3) for _ in range(after[n] - before[n]))
     assert order[:3] == [1, 0, 1] or order[:3] == [1, 1, 0]
     assert 2 not in order[:6]
@@ -272,27 +272,27 @@
 def test_credits_in_transit_are_not_issued_again() -> None:
     rig = Rig(1, 100.0)
     holder = rig.holders[0]
-    holder.requested = {E: {2: 2}}
+    holder.requested = {ENDPOINT_ID: {2: 2}}
     for _ in range(10):
         rig.now += 0.1
         assert rig.issue() is None
-    assert holder.issued[E] == 2
+    assert holder.issued[ENDPOINT_ID] == 2
     # The next report acknowledges one credit, and another request has arrived.
-    holder.requested, holder.received = {E: {2: 2}}, {E: 1}
+    holder.requested, holder.received = {ENDPOINT_ID: {2: 2}}, {ENDPOINT_ID: 1}
     rig.now += 0.1
     rig.issue()
-    assert holder.issued[E] == 3
+    assert holder.issued[ENDPOINT_ID] == 3
 
 
 def test_wait_estimate_covers_waiting_requests() -> None:
     rig = Rig(1, 2.0)
     assert rig.limit.wait == 0.0
-    rig.holders[0].requested = {E: {2: 20}}
+    rig.holders[0].requested = {ENDPOINT_ID: {2: 20}}
     rig.now += 0.1
     rig.issue()
     assert 5.0 < rig.limit.wait < 12.0
     assert rig.limit.is_constrained()
-    rig.holders[0].requested = {E: {PREFETCH_URGENCY: 3}}
+    rig.holders[0].requested = {ENDPOINT_ID: {PREFETCH_URGENCY: 3}}
     rig.now += 0.1
     rig.issue()
     assert not rig.limit.is_constrained()
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -88,8 +88,8 @@
         named_at = loop.time()
         load = Load(rig, "/a/x", "", 0.1)
         await load.run(7.0)
-        most = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
-        assert most <= compute_allowed(engine.limit)
+        max_calls = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
+        assert max_calls <= compute_allowed(engine.limit)
         # The other endpoint can serve all requests.
         assert load.count_refused() == 0
 
@@ -102,8 +102,8 @@
         named_at = loop.time()
         load = Load(rig, "/m/x", "a1", 0.1)
         await load.run(7.0)
-        most = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
-        assert most <= compute_allowed(engine.limit)
+        max_calls = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
+        assert max_calls <= compute_allowed(engine.limit)
         assert load.count_refused() <= 0.02 * len(load.statuses)
 
 
@@ -118,8 +118,8 @@
         await load.run(4.0)
         assert load.count_refused() == 0
         # Half of the endpoint's share of the requests; the limit was a tenth of it.
-        late = [at for at in engine.arrivals if at > over_at + 2.0]
-        assert len(late) > 2.0 * 6 / 0.1 / 2 / 2
+        later_arrivals = [at for at in engine.arrivals if at > over_at + 2.0]
+        assert len(later_arrivals) > 2.0 * 6 / 0.1 / 2 / 2
 
 
 async def test_limit_holds_after_its_issuer_is_lost() -> None:
@@ -138,8 +138,8 @@
         # Its clients keep sending requests, which fail.
         await rig.daemons[issuer].close()
         await asyncio.gather(running, return_exceptions=True)
-        most = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
-        assert most <= compute_allowed(engine.limit)
+        max_calls = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
+        assert max_calls <= compute_allowed(engine.limit)
 
 
 async def test_callers_get_retry_after_when_all_endpoints_are_limited() -> None:
@@ -151,8 +151,8 @@
         load = Load(rig, "/a/x", "", 0.2)
         await load.run(6.0)
         for engine in engines:
-            most = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
-            assert most <= compute_allowed(engine.limit)
+            max_calls = count_max_in_window(engine.calls, named_at + PROPAGATION_TIME)
+            assert max_calls <= compute_allowed(engine.limit)
         assert set(load.statuses) == {200, 503}
         assert all(wait >= 0.3 for wait in load.waits)
         served = load.statuses.count(200)
--- a/tests/test_loadlimiter.py
+++ b/tests/test_loadlimiter.py
@@ -69,10 +69,10 @@
 
 
 @pytest.mark.parametrize("rate", [1.0, 4.4, 9.3, 33.0])
-def test_loads_of_models_keep_the_ceiling_over_three_leaders(rate: float) -> None:
+def test_model_loads_keep_the_rate_limit_over_three_leaders(rate: float) -> None:
     # Guards against leaders whose fractions add up to more than the rate during lease
     # transfers.
     window = BOUNDS.load_window
     for seed in range(40):
-        most = count_max_in_window(simulate(seed, rate), 0.0, window)
-        assert most <= rate * window * BOUNDS.load_overage + 3
+        max_loads = count_max_in_window(simulate(seed, rate), 0.0, window)
+        assert max_loads <= rate * window * BOUNDS.load_overage + 3
