--- a/src/kestreltally/placing/credits.py
+++ b/src/kestreltally/placing/credits.py
@@ -51,10 +51,8 @@
 class CreditHolder:
     """A daemon that requests credits, or a leader for its followers.
 
-    Its counts start again with each connection.
-
-    ``received`` is how many credits had arrived at the time of ``requested``; it does
-    not cover credits issued since.
+    A new holder is created for each connection. ``received`` is how many credits had
+    arrived at the time of ``requested``; it does not cover credits issued since.
     """
 
     requested: dict[EndpointId, CreditDemand] = field(default_factory=dict)
--- a/src/kestreltally/placing/planner.py
+++ b/src/kestreltally/placing/planner.py
@@ -44,7 +44,8 @@
 # most as long as such a load takes.
 BUSY_DELAY: Final[Seconds] = 0.1
 HOLD_DURATION: Final[Seconds] = 0.25
-# The cost of an eviction: the victim will be requested again and loaded.
+# The cost of an eviction per unit of the victim's score: the victim will be requested
+# again, with a load for each request per second.
 VICTIM_COST_TIME: Final[Seconds] = 0.5
 # Adapters without waiting requests and at most this rate are not planned for.
 MIN_RATE: Final = min(MIN_REPLICA_RATE, MIN_CROWDED_RATE)
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -216,8 +216,8 @@
 
 
 async def test_engine_failing_most_requests_is_quarantined() -> None:
-    # Guards against a failure in which engines that kept restarting lost 300 requests,
-    # because no single daemon observed enough failures.
+    # Guards against a failure in which engines that kept going down and up lost 300
+    # requests, because no single daemon observed enough failures.
     rig = LeaderRig()
     await asyncio.sleep(1.0)
     rig.ask(7)
