--- a/src/kestreltally/platform/documents.py
+++ b/src/kestreltally/platform/documents.py
@@ -52,7 +52,7 @@
 SILENCE_LIMIT_PAUSES: Final = 8.0
 
 
-# The exceptions raised by decoding a document of an unexpected form.
+# The exceptions that decoding a malformed document may raise.
 FORMAT_ERRORS: Final = (AttributeError, KeyError, OverflowError, TypeError, ValueError)
 # Upper bounds on the values in a document.
 MAX_TEXT_LENGTH: Final = 512
@@ -239,7 +239,7 @@
     if not isinstance(value, str):
         raise TypeError(f"{value!r} is not a string")
     if not 0 < len(value) <= MAX_TEXT_LENGTH:
-        raise ValueError(f"a string of {len(value)} characters")
+        raise ValueError(f"a string of length {len(value)}")
     value.encode()
     return value
 
--- a/src/kestreltally/platform/headers.py
+++ b/src/kestreltally/platform/headers.py
@@ -143,7 +143,7 @@
 
 
 def read_keys(headers: MultiMapping[str]) -> list[str]:
-    """Return the keys that a client presents; a valid request has exactly one."""
+    """Return the keys that a client presents; normally there is exactly one."""
     return headers.getall(_KEY, [])
 
 
@@ -230,7 +230,7 @@
 
 
 def read_instance(headers: Mapping[str, str]) -> str:
-    """Return the id of the endpoint that answered a health check or a refusal."""
+    """Return the id of the endpoint that answered a health check or refused."""
     return headers.get(_INSTANCE, "")
 
 
