--- a/src/kestreltally/placing/orders.py
+++ b/src/kestreltally/placing/orders.py
@@ -92,7 +92,10 @@
         self._calls = 0
 
     async def read_report(self, endpoint: Endpoint) -> EngineReport:
-        """Return an engine's report; raises ``EngineUnresponsive`` or ``Unavailable``."""
+        """Return an engine's report.
+
+        Raises ``EngineUnresponsive`` or ``Unavailable``.
+        """
         status, body = await self._call(endpoint, "GET", REPORT_PATH, b"", None)
         if status != 200:
             raise EngineUnresponsive(f"report: status {status}")
@@ -106,8 +109,9 @@
     ) -> OrderOutcome:
         """Send an order and record its outcome.
 
-        Raises ``EngineUnresponsive`` or ``Unavailable``. Repeating a load polls its end:
-        the engine's answer is current, unlike its report, and the repeat has no effect.
+        Raises ``EngineUnresponsive`` or ``Unavailable``. Repeating a load polls its
+        end: the engine's answer is current, unlike its report, and the repeat has no
+        effect.
         """
         async with state.lock:
             return await self._order_locked(state, kind, key)
