--- a/src/kestreltally/fleet/model.py
+++ b/src/kestreltally/fleet/model.py
@@ -35,7 +35,7 @@
 
     ``priority`` 0 is the most urgent. ``objective`` is the target time to the first
     event of a stream, or to the complete answer. ``attempts`` limits how many endpoints
-    may run one request. Clients abandon a stream that sends nothing for ``patience``,
+    may run one request. Clients abandon a stream that sends nothing for ``client_wait_limit``,
     also before its first event; 0 means that no such limit is known. Requests of a
     ``public`` route need no key.
     """
@@ -50,7 +50,7 @@
     attempts: int
     priority: int
     resumable: bool
-    patience: Seconds = 0.0
+    client_wait_limit: Seconds = 0.0
     public: bool = False
 
     @property
@@ -175,7 +175,7 @@
 
     An engine may be restarted under the same id. ``born`` is the start time in Unix
     milliseconds, 0 if unknown. ``weights`` maps the weights it holds to their versions,
-    and ``loading`` names the weights being loaded. ``spared`` means that its leader has
+    and ``loading`` names the weights being loaded. ``quarantined`` means that its leader has
     quarantined it for a while, because requests of many daemons failed there.
     """
 
@@ -188,13 +188,13 @@
     leaving: bool
     weights: dict[WeightsKey, int]
     loading: frozenset[WeightsKey] = frozenset()
-    spared: bool = False
+    quarantined: bool = False
     born: int = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """What one answer says about its endpoint; ``rest`` is the requested backoff or 0.
+    """What one answer says about its endpoint; ``backoff`` is the requested backoff or 0.
 
     ``limit`` is the number of requests per second that the endpoint accepts from all
     daemons together, None if it names no limit; ``malformed`` means that it names one
@@ -203,20 +203,20 @@
     """
 
     leaves: bool
-    rest: Seconds
+    backoff: Seconds
     limit: float | None = None
     malformed: bool = False
     rejects: bool = False
 
 
-EMPTY_NOTICE: Final = Notice(leaves=False, rest=0.0)
+EMPTY_NOTICE: Final = Notice(leaves=False, backoff=0.0)
 
 
 @dataclass(frozen=True, slots=True)
 class KnownNotice:
     """What one incarnation of an endpoint says about itself, as daemons report it.
 
-    ``rest`` is the remaining backoff, requested from the reporting daemon. ``limit`` is
+    ``backoff`` is the remaining backoff, requested from the reporting daemon. ``limit`` is
     the current limit, of version ``limit_version``, which is 0 if no limit was ever
     named. ``turn_wait`` is how long a call waits for its credit, as leaders report it.
     """
@@ -224,7 +224,7 @@
     endpoint: EndpointId
     born: int
     leaves: bool
-    rest: Seconds
+    backoff: Seconds
     limit: float | None = None
     limit_version: int = 0
     turn_wait: Seconds = 0.0
--- a/src/kestreltally/fleet/notices.py
+++ b/src/kestreltally/fleet/notices.py
@@ -70,7 +70,7 @@
 
 
 @dataclass(slots=True)
-class _Standing:
+class _EndpointState:
     """The state of one incarnation of an endpoint.
 
     ``recovering`` stays set after the backoff until answers have shown that it is over;
@@ -132,7 +132,7 @@
     """The notices of all endpoints that this daemon has received."""
 
     def __init__(self) -> None:
-        self._rows: dict[EndpointId, _Standing] = {}
+        self._rows: dict[EndpointId, _EndpointState] = {}
         self.unknown_signals = UnknownSignals()
         # Called with an endpoint whose notice has changed.
         self.notify_change: Callable[[EndpointId], None] = lambda _: None
@@ -167,17 +167,17 @@
             self._announce_limit(endpoint.id, row, before, now)
         if notice.leaves:
             self._record_leaving(endpoint.id, row)
-        rest = notice.rest
+        backoff = notice.backoff
         if from_request and notice.rejects:
-            rest = row.count_rejection(sent_at, now)
+            backoff = row.count_rejection(sent_at, now)
         elif from_request:
             row.consecutive_rejections, row.default_backoff = 0, 0.0
-        if rest > 0:
-            self._start_backoff(endpoint.id, row, rest, now)
+        if backoff > 0:
+            self._start_backoff(endpoint.id, row, backoff, now)
         elif not notice.rejects:
             self._advance_recovery(endpoint, now)
 
-    def _record_leaving(self, endpoint: EndpointId, row: _Standing) -> None:
+    def _record_leaving(self, endpoint: EndpointId, row: _EndpointState) -> None:
         if row.leaves:
             return
         row.leaves = True
@@ -187,7 +187,7 @@
     def _announce_limit(
         self,
         endpoint: EndpointId,
-        row: _Standing,
+        row: _EndpointState,
         before: float | None,
         now: Seconds,
     ) -> None:
@@ -205,11 +205,11 @@
         self.notify_change(endpoint)
 
     def _start_backoff(
-        self, endpoint: EndpointId, row: _Standing, rest: Seconds, now: Seconds
+        self, endpoint: EndpointId, row: _EndpointState, rest: Seconds, now: Seconds
     ) -> None:
-        news = now >= row.backoff_until
+        is_new = now >= row.backoff_until
         row.start_recovery(now + rest)
-        if news:
+        if is_new:
             log_decision(
                 LOG, Decision.ENDPOINT_WANTS_REST, endpoint=endpoint, rest=rest
             )
@@ -225,7 +225,7 @@
 
     def _ensure_row(
         self, endpoint: EndpointId, born: int, now: Seconds
-    ) -> _Standing | None:
+    ) -> _EndpointState | None:
         """Return the row of an incarnation, None if a later one is known.
 
         A late answer of an earlier incarnation says nothing about the current one.
@@ -236,11 +236,11 @@
                 return None
             row = None
         if row is None:
-            row = self._rows[endpoint] = _Standing(born, now)
+            row = self._rows[endpoint] = _EndpointState(born, now)
         row.recorded_at = max(row.recorded_at, now)
         return row
 
-    def _get_row(self, endpoint: Endpoint) -> _Standing | None:
+    def _get_row(self, endpoint: Endpoint) -> _EndpointState | None:
         """Return the row of this incarnation of an endpoint."""
         row = self._rows.get(endpoint.id)
         if row is None or is_other_incarnation(row.born, endpoint.born):
@@ -270,7 +270,7 @@
         return row.compute_backoff(now) or self._compute_credit_wait(endpoint, row, now)
 
     def _compute_credit_wait(
-        self, endpoint: Endpoint, row: _Standing, now: Seconds
+        self, endpoint: Endpoint, row: _EndpointState, now: Seconds
     ) -> Seconds:
         if row.rate_limit.limit is None:
             return 0.0
@@ -281,8 +281,8 @@
         row = self._get_row(endpoint)
         if row is None:
             return False
-        rests = row.compute_backoff(now) > 0 or now < row.remote_backoff_until
-        return rests or row.rate_limit.is_constrained()
+        backing_off = row.compute_backoff(now) > 0 or now < row.remote_backoff_until
+        return backing_off or row.rate_limit.is_constrained()
 
     def start_send(self, endpoint: Endpoint, now: Seconds) -> bool:
         """Record that a request is sent to an endpoint; return whether it is a trial.
@@ -367,14 +367,14 @@
         """Return the notices in force, and what is known of limits."""
         known = []
         for name, row in self._rows.items():
-            rest = max(0.0, row.backoff_until - now)
-            if row.leaves or rest or row.rate_limit.version:
+            backoff = max(0.0, row.backoff_until - now)
+            if row.leaves or backoff or row.rate_limit.version:
                 known.append(
                     KnownNotice(
                         endpoint=name,
                         born=row.born,
                         leaves=row.leaves,
-                        rest=rest,
+                        backoff=backoff,
                         limit=row.rate_limit.limit,
                         limit_version=row.rate_limit.version,
                         turn_wait=row.rate_limit.wait,
@@ -387,7 +387,7 @@
         known = self.list_known(now)
         return {
             "leaving": float(sum(each.leaves for each in known)),
-            "resting": float(sum(each.rest > 0 for each in known)),
+            "resting": float(sum(each.backoff > 0 for each in known)),
             "limited": float(sum(each.limit is not None for each in known)),
         }
 
@@ -395,14 +395,14 @@
         """Apply notices that another daemon has received."""
         for each in reported:
             self.apply_reported_limit(each, now)
-            if not each.leaves and not each.rest:
+            if not each.leaves and not each.backoff:
                 continue
             row = self._ensure_row(each.endpoint, each.born, now)
             if row is None:
                 continue
             if each.leaves:
                 self._record_leaving(each.endpoint, row)
-            row.remote_backoff_until = max(row.remote_backoff_until, now + each.rest)
+            row.remote_backoff_until = max(row.remote_backoff_until, now + each.backoff)
 
     def apply_reported_limit(self, reported: KnownNotice, now: Seconds) -> None:
         """Apply what another daemon knows of a limit.
@@ -428,6 +428,6 @@
         for name, row in list(self._rows.items()):
             if name in listed and (row.leaves or row.rate_limit.limit is not None):
                 row.recorded_at = now
-            rests = max(row.backoff_until, row.remote_backoff_until)
-            if now > RETENTION + max(row.recorded_at, rests):
+            backoff_until = max(row.backoff_until, row.remote_backoff_until)
+            if now > RETENTION + max(row.recorded_at, backoff_until):
                 del self._rows[name]
--- a/src/kestreltally/fleet/rate_limits.py
+++ b/src/kestreltally/fleet/rate_limits.py
@@ -102,8 +102,8 @@
         if notice.malformed:
             return False
         if notice.limit is None:
-            ends = self.limit is not None and sent_at >= self.known_at
-            if not ends or not (from_request or self.named_in_calls):
+            ends_limit = self.limit is not None and sent_at >= self.known_at
+            if not ends_limit or not (from_request or self.named_in_calls):
                 return False
         else:
             self.named_in_calls |= not from_request
@@ -137,7 +137,7 @@
 
     def _count_credits(self, now: Seconds) -> int:
         """Return the number of available credits, after dropping expired ones."""
-        self.credits = [ends for ends in self.credits if ends > now]
+        self.credits = [expires_at for expires_at in self.credits if expires_at > now]
         return len(self.credits)
 
     def compute_wait(self, issuer: IssuerState, now: Seconds) -> Seconds:
@@ -176,16 +176,18 @@
         if self.limit is None:
             return {}
         pace = min(self.rate, self.demand.read(now))
-        ahead = math.ceil(pace * PREFETCH_TIME) if pace >= MIN_RATE else 0
+        prefetched = math.ceil(pace * PREFETCH_TIME) if pace >= MIN_RATE else 0
         # A waiting request may have been woken without having used its credit yet.
-        at_hand = self._count_credits(now)
-        wanted = {}
-        for urgency, count in sorted({**self.waiting, PREFETCH_URGENCY: ahead}.items()):
-            met = min(count, at_hand)
-            at_hand -= met
+        available = self._count_credits(now)
+        required = {}
+        for urgency, count in sorted(
+            {**self.waiting, PREFETCH_URGENCY: prefetched}.items()
+        ):
+            met = min(count, available)
+            available -= met
             if count > met:
-                wanted[urgency] = count - met
-        return wanted
+                required[urgency] = count - met
+        return required
 
     def is_constrained(self) -> bool:
         """Return whether calls wait so long that another endpoint is preferable."""
--- a/src/kestreltally/fleet/tables.py
+++ b/src/kestreltally/fleet/tables.py
@@ -146,12 +146,12 @@
         Quarantined endpoints are used if there is no other. An endpoint that asked for
         backoff is never called.
         """
-        awake = [
+        available = [
             each
             for each in self._list_known(service)
             if not each.leaving and not self.notices.compute_backoff(each, now)
         ]
-        return [each for each in awake if not each.spared] or awake
+        return [each for each in available if not each.quarantined] or available
 
     def is_backing_off(self, endpoint: Endpoint, now: Seconds) -> bool:
         """Return whether an endpoint is backing off but not leaving."""
@@ -165,24 +165,26 @@
         Return None if no such endpoint is backing off. Without ``key`` any endpoint of
         the service could serve.
         """
-        able = (
+        capable = (
             self._list_known(service)
             if key is None
             else (self.endpoints[each] for each in self._holders.get(key, ()))
         )
-        rests = (
+        backoffs = (
             self.notices.compute_backoff(each, now)
-            for each in able
+            for each in capable
             if each.service == service and not each.leaving
         )
-        return min((rest for rest in rests if 0 < rest < FOREVER), default=None)
+        return min(
+            (backoff for backoff in backoffs if 0 < backoff < FOREVER), default=None
+        )
 
     def list_holders(
         self, service: ServiceName, key: WeightsKey, now: Seconds
     ) -> list[Endpoint]:
         """Return the endpoints of a service that can be called now for some weights."""
-        able = self._list_capable(service, key, now)
-        return [each for each in able if not self.notices.compute_backoff(each, now)]
+        capable = self._list_capable(service, key, now)
+        return [each for each in capable if not self.notices.compute_backoff(each, now)]
 
     def list_rate_limited(
         self, service: ServiceName, key: WeightsKey | None, now: Seconds
@@ -194,10 +196,10 @@
         if not self.notices.any_rate_limited:
             return []
         if key is not None:
-            able = self._list_capable(service, key, now)
+            capable = self._list_capable(service, key, now)
         else:
-            able = [each for each in self._list_known(service) if not each.leaving]
-        return [each for each in able if self.notices.is_rate_limited(each)]
+            capable = [each for each in self._list_known(service) if not each.leaving]
+        return [each for each in capable if self.notices.is_rate_limited(each)]
 
     def _list_capable(
         self, service: ServiceName, key: WeightsKey, now: Seconds
@@ -228,12 +230,12 @@
             for each in self._list_known(service)
             if not each.leaving and not self.notices.is_constrained(each, now)
         ]
-        return [each for each in useful if not each.spared] or useful
+        return [each for each in useful if not each.quarantined] or useful
 
     def is_held(self, service: ServiceName, key: WeightsKey, now: Seconds) -> bool:
         """Return whether all daemons, as far as known, can use some weights."""
-        able = self._list_capable(service, key, now)
-        return any(not self.notices.is_constrained(each, now) for each in able)
+        capable = self._list_capable(service, key, now)
+        return any(not self.notices.is_constrained(each, now) for each in capable)
 
     def is_loading(self, service: ServiceName, key: WeightsKey, now: Seconds) -> bool:
         """Return whether an engine of a service is loading some weights."""
@@ -277,4 +279,8 @@
 
 def _accepts_work(endpoint: Endpoint, service: ServiceName) -> bool:
     """Return whether an endpoint of a service is neither leaving nor quarantined."""
-    return endpoint.service == service and not endpoint.leaving and not endpoint.spared
+    return (
+        endpoint.service == service
+        and not endpoint.leaving
+        and not endpoint.quarantined
+    )
--- a/src/kestreltally/knowledge/fleet_rows.py
+++ b/src/kestreltally/knowledge/fleet_rows.py
@@ -164,6 +164,6 @@
             return
         for endpoint in list(self._fleet.endpoints.values()):
             leader = self._get_lease(endpoint).data_centre
-            leader_only = endpoint.loading or endpoint.spared
+            leader_only = endpoint.loading or endpoint.quarantined
             if leader_only and not self._leaders.is_reachable(leader):
-                self.put_row(replace(endpoint, loading=frozenset(), spared=False))
+                self.put_row(replace(endpoint, loading=frozenset(), quarantined=False))
--- a/src/kestreltally/knowledge/rows.py
+++ b/src/kestreltally/knowledge/rows.py
@@ -58,7 +58,7 @@
         leaving=endpoint.leaving,
         weights=[encode_weights(k, v) for k, v in endpoint.weights.items()],
         loading=[encode_weights(k, 0) for k in endpoint.loading],
-        spared=endpoint.spared,
+        spared=endpoint.quarantined,
         born=endpoint.born,
     )
 
@@ -75,7 +75,7 @@
         leaving=row.leaving,
         weights=dict(decode_weights(each) for each in row.weights or ()),
         loading=frozenset(decode_weights(each)[0] for each in row.loading or ()),
-        spared=bool(row.spared),
+        quarantined=bool(row.spared),
         born=row.born or 0,
     )
 
@@ -123,7 +123,7 @@
         endpoint=notice.endpoint,
         born=notice.born,
         leaves=notice.leaves,
-        rest=notice.rest,
+        rest=notice.backoff,
         limit=notice.limit,
         limit_version=notice.limit_version,
         turn_wait=notice.turn_wait,
@@ -136,7 +136,7 @@
         endpoint=EndpointId(row.endpoint),
         born=row.born or 0,
         leaves=bool(row.leaves),
-        rest=row.rest or 0.0,
+        backoff=row.rest or 0.0,
         limit=row.limit,
         limit_version=row.limit_version or 0,
         turn_wait=row.turn_wait or 0.0,
--- a/src/kestreltally/placing/enginestate.py
+++ b/src/kestreltally/placing/enginestate.py
@@ -160,7 +160,10 @@
         """
         if self.unanswered_calls >= MAX_UNANSWERED_CALLS:
             return replace(
-                self.endpoint, weights={}, loading=frozenset(), spared=self.quarantined
+                self.endpoint,
+                weights={},
+                loading=frozenset(),
+                quarantined=self.quarantined,
             )
         # Requests for weights that are being replaced are refused until the load ends.
         unavailable = self.unloading.keys() | self.incoming.keys()
@@ -169,5 +172,5 @@
             self.endpoint,
             weights=usable,
             loading=frozenset(self.incoming),
-            spared=self.quarantined,
+            quarantined=self.quarantined,
         )
--- a/src/kestreltally/placing/leader.py
+++ b/src/kestreltally/placing/leader.py
@@ -299,7 +299,7 @@
         service_endpoints = [
             e for e in self._fleet.endpoints.values() if e.service == service
         ]
-        quarantined = sum(1 for each in service_endpoints if each.spared)
+        quarantined = sum(1 for each in service_endpoints if each.quarantined)
         return quarantined + 1 <= MAX_QUARANTINED_FRACTION * len(service_endpoints)
 
     def _step_service(
--- a/src/kestreltally/poison/crashes.py
+++ b/src/kestreltally/poison/crashes.py
@@ -38,7 +38,7 @@
 # How long requests without a complete answer are remembered. A crash shows at once by
 # the address, and by the entry within four heartbeats of 1.2 s, or some seconds more if
 # the store is slow.
-FLIGHT_RETENTION: Final[Seconds] = 12.0
+ATTEMPT_RETENTION: Final[Seconds] = 12.0
 # Minimum silence of a removed endpoint to count as crashed: an endpoint that leaves as
 # planned keeps serving until then.
 MIN_SILENCE: Final[Seconds] = 2.0
@@ -96,7 +96,7 @@
         """Return a request's fingerprint if any suspect has its outline."""
         if not self._secret.value:
             return None
-        if not self._register.is_outlined(make_outline(request)):
+        if not self._register.has_outline(make_outline(request)):
             return None
         return make_fingerprint(request, self._secret.value)
 
@@ -145,7 +145,7 @@
 
     def prune_old(self) -> None:
         """Remove old finished attempts and old times of probes."""
-        oldest = self._clock() - FLIGHT_RETENTION
+        oldest = self._clock() - ATTEMPT_RETENTION
         for attempts in list(self._attempts.values()):
             for attempt in list(attempts):
                 if attempt.finished_at is not None and attempt.finished_at < oldest:
--- a/src/kestreltally/poison/guard.py
+++ b/src/kestreltally/poison/guard.py
@@ -18,7 +18,7 @@
     """The crash detector, the register of suspects, and the secret they share."""
 
     def __init__(self, received_at: Callable[[EndpointId], Seconds]) -> None:
-        self.secret = SharedSecret(_read_clock, self._forget_digests)
+        self.secret = SharedSecret(_read_clock, self._clear_digests)
         self.register = PoisonRegister(_read_clock)
         self.crashes = CrashDetector(
             self.register, self.secret, received_at, _read_clock
@@ -40,6 +40,6 @@
         self.crashes.prune_old()
         self.register.prune_old()
 
-    def _forget_digests(self) -> None:
+    def _clear_digests(self) -> None:
         self.register.clear()
         self.crashes.clear()
--- a/src/kestreltally/poison/register.py
+++ b/src/kestreltally/poison/register.py
@@ -23,7 +23,7 @@
 
 # A request is stopped after this many crashes. With two, an innocent request that its
 # client repeats once would be stopped if it met another request's crash both times.
-ENDS_TO_STOP: Final = 3
+CRASHES_TO_STOP: Final = 3
 # How long reports of other daemons on a crash are awaited: they take about 0.15 s over
 # two leaders. Until then the request is held back.
 SETTLE_TIME: Final[Seconds] = 0.3
@@ -55,7 +55,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standing:
+class SuspectSummary:
     """A request as shown to operators; ``last_ended`` is an age."""
 
     content: str
@@ -81,7 +81,7 @@
 
     # Queries.
 
-    def is_outlined(self, outline: int) -> bool:
+    def has_outline(self, outline: int) -> bool:
         """Return whether a suspect has this outline, so that a digest is needed."""
         return outline in self._outlines
 
@@ -96,9 +96,9 @@
         if suspect is None:
             return None
         now = self._clock()
-        ends = suspect.list_ends(now)
+        ends = suspect.list_sequential(now)
         content = str(suspect.fingerprint)
-        if len(ends) < ENDS_TO_STOP or self._is_explained_by_other(suspect, now):
+        if len(ends) < CRASHES_TO_STOP or self._is_explained_by_other(suspect, now):
             self._record_verdict(suspect, len(ends), stopped=False)
             return None
         unsettled = suspect.recorded_at + SETTLE_TIME - now
@@ -113,7 +113,7 @@
         due = [
             digest
             for digest, suspect in self._suspects.items()
-            if len(suspect.sightings) >= ENDS_TO_STOP
+            if len(suspect.sightings) >= CRASHES_TO_STOP
         ]
         for digest in due:
             self.find_block(digest)
@@ -127,7 +127,7 @@
         own_score = suspect.score(now)
         return any(
             lives <= {each.life for each in other.list_valid(now)}
-            and len(other.list_ends(now)) >= ENDS_TO_STOP
+            and len(other.list_sequential(now)) >= CRASHES_TO_STOP
             and other.score(now) > own_score
             for other in self._suspects.values()
             if other is not suspect and len(other.sightings) >= len(lives)
@@ -149,12 +149,12 @@
             lives=sorted(suspect.sightings),
         )
 
-    def list_suspects(self, min_ends: int = 1) -> list[Standing]:
+    def list_suspects(self, min_ends: int = 1) -> list[SuspectSummary]:
         """Return requests with at least ``min_ends`` crashes, most crashes first."""
         self.evaluate()
         now = self._clock()
         found = [
-            Standing(
+            SuspectSummary(
                 content=str(suspect.fingerprint),
                 ends=len(ends),
                 stopped=digest in self._stopped,
@@ -162,7 +162,7 @@
                 last_ended=now - ends[-1].ended_at,
             )
             for digest, suspect in self._suspects.items()
-            if len(ends := suspect.list_ends(now)) >= min_ends
+            if len(ends := suspect.list_sequential(now)) >= min_ends
         ]
         return sorted(found, key=lambda each: each.ends, reverse=True)
 
@@ -171,7 +171,7 @@
         self.evaluate()
         now = self._clock()
         stopped = [self._suspects[digest] for digest in sorted(self._stopped)]
-        return [end for suspect in stopped for end in suspect.list_ends(now)]
+        return [end for suspect in stopped for end in suspect.list_sequential(now)]
 
     def count(self) -> dict[str, float]:
         """Return the numbers of suspected and of stopped requests."""
@@ -201,7 +201,7 @@
         at every crash: with 32 requests at an engine, about 2,500 lines at 79 daemons.
         """
         suspect = self._suspects.get(seen.fingerprint.digest)
-        ends = len(suspect.list_ends(self._clock())) if suspect is not None else 0
+        ends = len(suspect.list_sequential(self._clock())) if suspect is not None else 0
         if suspect is None or ends < 2:
             return
         log_decision(
@@ -287,16 +287,16 @@
 
     def _choose_eviction(self) -> Digest:
         """Return the oldest suspect among those with the fewest crashes."""
-        open_cases = {
+        not_stopped = {
             digest: len(suspect.sightings)
             for digest, suspect in self._suspects.items()
             if digest not in self._stopped
         }
-        for max_ends in range(1, ENDS_TO_STOP):
-            for digest, ends in open_cases.items():
+        for max_ends in range(1, CRASHES_TO_STOP):
+            for digest, ends in not_stopped.items():
                 if ends <= max_ends:
                     return digest
-        return next(iter(open_cases or self._suspects))
+        return next(iter(not_stopped or self._suspects))
 
     def _remove(self, digest: Digest) -> None:
         suspect = self._suspects.pop(digest)
@@ -320,4 +320,4 @@
 
 def _compute_stop_time(ends: int) -> Seconds:
     """Return how long after its last crash a request is stopped."""
-    return min(MAX_STOP_TIME, INITIAL_STOP_TIME * 2.0 ** (ends - ENDS_TO_STOP))
+    return min(MAX_STOP_TIME, INITIAL_STOP_TIME * 2.0 ** (ends - CRASHES_TO_STOP))
--- a/src/kestreltally/poison/suspects.py
+++ b/src/kestreltally/poison/suspects.py
@@ -29,7 +29,7 @@
         valid = [each for each in self.sightings.values() if each.ended_at > since]
         return sorted(valid, key=lambda each: each.ended_at)
 
-    def list_ends(self, now: Seconds) -> list[Sighting]:
+    def list_sequential(self, now: Seconds) -> list[Sighting]:
         """Return sightings in sequence: the request was sent again after each crash.
 
         A request that many callers send at once is present at many crashes when a rack
--- a/src/kestreltally/quotas/ledger.py
+++ b/src/kestreltally/quotas/ledger.py
@@ -71,7 +71,7 @@
         self._bounds = bounds
         self._grants: dict[OrganisationName, Grant] = {}
         self._accounts: dict[OrganisationName, Account] = {}
-        self._usual_daemons: float | None = None
+        self._average_daemons: float | None = None
         self._counted_at: Seconds = 0.0
         self._missing = 0.0
         self._all_reported_at: Seconds = float("-inf")
@@ -110,13 +110,13 @@
         daemon that switches to another leader is briefly counted twice; the average
         keeps this from making others count as missing.
         """
-        if self._usual_daemons is None:
-            self._usual_daemons = float(max(1, connected))
+        if self._average_daemons is None:
+            self._average_daemons = float(max(1, connected))
         passed = max(0.0, now - self._counted_at)
         self._counted_at = now
         weight = 1.0 - math.exp(-passed / DAEMON_COUNT_TIME)
-        self._usual_daemons += weight * (connected - self._usual_daemons)
-        self._missing = max(0.0, 1.0 - max(1, connected) / self._usual_daemons)
+        self._average_daemons += weight * (connected - self._average_daemons)
+        self._missing = max(0.0, 1.0 - max(1, connected) / self._average_daemons)
 
     def _compute_rate(self, grant: Grant) -> float:
         """Return the units per second that connected daemons may spend."""
--- a/tests/backoffsim.py
+++ b/tests/backoffsim.py
@@ -49,14 +49,14 @@
             self.backoff_until = now + BACKOFF
         if now < self.backoff_until:
             self.rejected += 1
-            return Notice(leaves=False, rest=self.backoff_until - now)
+            return Notice(leaves=False, backoff=self.backoff_until - now)
         self.running += 1
         self.served += 1
         return EMPTY_NOTICE
 
 
 @dataclass
-class Play:
+class Simulation:
     """The simulation of one seed."""
 
     seed: int
@@ -66,37 +66,37 @@
     lost: int = 0
 
     def __post_init__(self) -> None:
-        self.draw = random.Random(self.seed)
+        self.random = random.Random(self.seed)
         self.time = VirtualTime()
         self.tables = [NoticeTable() for _ in range(self.daemons)]
 
     def at(self, when: float, action: Callable[[float], None]) -> None:
         self.time.at(when, lambda: action(when))
 
-    def run(self) -> "Play":
+    def run(self) -> "Simulation":
         for table in self.tables:
             # All daemons had a request rejected as the backoff started.
-            rejected_at = self.draw.uniform(0.0, 0.2)
+            rejected_at = self.random.uniform(0.0, 0.2)
             table.record(ENDPOINT, Notice(False, BACKOFF - rejected_at), rejected_at)
-            self.at(self.draw.expovariate(self.rate), self._make_arrival(table))
+            self.at(self.random.expovariate(self.rate), self._make_arrival(table))
         self.time.run_until(ENDS_AT)
         return self
 
     def _make_arrival(self, table: NoticeTable) -> Callable[[float], None]:
         def arrive(now: float) -> None:
             self._try(table, now, now)
-            self.at(now + self.draw.expovariate(self.rate), arrive)
+            self.at(now + self.random.expovariate(self.rate), arrive)
 
         return arrive
 
     def _try(self, table: NoticeTable, arrived: float, now: float) -> None:
-        rest = table.compute_backoff(ENDPOINT, now)
-        if now + rest > arrived + MAX_WAIT:
+        backoff = table.compute_backoff(ENDPOINT, now)
+        if now + backoff > arrived + MAX_WAIT:
             self.lost += 1
             return
-        if rest > 0:
+        if backoff > 0:
             self.at(
-                now + min(rest, 0.2), lambda later: self._try(table, arrived, later)
+                now + min(backoff, 0.2), lambda later: self._try(table, arrived, later)
             )
             return
         try:
@@ -131,12 +131,12 @@
 }
 
 
-def play(strategy: str, seed: int, daemons: int, rate: float) -> Play:
+def simulate(strategy: str, seed: int, daemons: int, rate: float) -> Simulation:
     """Simulate a seed with a strategy."""
     saved = notices.INITIAL_TRIALS, notices.TRIAL_STEP
     notices.INITIAL_TRIALS, notices.TRIAL_STEP = STRATEGIES[strategy]  # type: ignore[misc]
     try:
-        return Play(seed, daemons, rate).run()
+        return Simulation(seed, daemons, rate).run()
     finally:
         notices.INITIAL_TRIALS, notices.TRIAL_STEP = saved  # type: ignore[misc]
 
@@ -148,11 +148,16 @@
     click.echo("| daemons | rate | strategy | rejected | served | lost |")
     for daemons, rate in ((6, 60.0), (6, 30.0), (79, 60.0), (1_100, 60.0)):
         for strategy in STRATEGIES:
-            plays = [play(strategy, n, daemons, rate / daemons) for n in range(seeds)]
+            simulations = [
+                simulate(strategy, n, daemons, rate / daemons) for n in range(seeds)
+            ]
             rejected, served, lost = (
                 statistics.mean(each)
                 for each in zip(
-                    *((p.engine.rejected, p.engine.served, p.lost) for p in plays),
+                    *(
+                        (p.engine.rejected, p.engine.served, p.lost)
+                        for p in simulations
+                    ),
                     strict=True,
                 )
             )
--- a/tests/poisonrig.py
+++ b/tests/poisonrig.py
@@ -91,7 +91,7 @@
     def record_crash(self, task: asyncio.Task[None]) -> None:
         self.crashes.append(task)
 
-    async def add_crashing(self, zone: str) -> CrashingEngine:
+    async def add_crashing_engine(self, zone: str) -> CrashingEngine:
         engine = CrashingEngine(self, zone)
         await engine.start()
         self.crashing.append(engine)
@@ -117,13 +117,13 @@
     async def wait_until_known(self) -> None:
         """Wait until all daemons know of each crash so far, within the bound for it."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        while not all(self._knows_ends(each) for each in self.daemons.values()):
+        started = loop.time()
+        while not all(self._knows_crashes(each) for each in self.daemons.values()):
             await asyncio.sleep(0.02)
-            assert loop.time() - began < KNOWN_WITHIN
+            assert loop.time() - started < KNOWN_WITHIN
         await asyncio.sleep(SETTLE_TIME)
 
-    def _knows_ends(self, daemon: FleetDaemon) -> bool:
+    def _knows_crashes(self, daemon: FleetDaemon) -> bool:
         listed = daemon._relay.poison.register.list_suspects()
         return max((each.ends for each in listed), default=0) >= len(self.crashes)
 
@@ -160,7 +160,7 @@
     await rig.store.put("config", "main", make_configuration(1, "/a/"))
     for zone in DATA_CENTRES:
         for _ in range(ENGINES):
-            await rig.add_crashing(zone)
+            await rig.add_crashing_engine(zone)
     for zone in DATA_CENTRES:
         for number in range(1, DAEMONS + 1):
             await rig.add_daemon(f"{zone}-{number}", zone)
--- a/tests/poisonsim.py
+++ b/tests/poisonsim.py
@@ -75,16 +75,16 @@
     group: int
     lost: bool = False
     # Requests of others in flight: engine, name, start time.
-    flights: list[tuple[int, str, float]] = field(default_factory=list)
+    in_flight: list[tuple[int, str, float]] = field(default_factory=list)
 
 
-class Play:
+class Simulation:
     """The simulation of one seed."""
 
     def __init__(
         self, seed: int, daemons: int, groups: int, sharing: Sharing, fault: Fault
     ) -> None:
-        self._draw = Random(seed)
+        self._random = Random(seed)
         self._now = 0.0
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = count()
@@ -99,14 +99,14 @@
             for number in range(daemons)
         ]
         self._groups = groups
-        self._third_at: float | None = None
+        self._third_crash_at: float | None = None
         self._disconnected_until: dict[int, float] = {}
 
     def at(self, moment: float, work: Callable[[], None]) -> None:
         heapq.heappush(self._events, (moment, next(self._sequence), work))
 
     def later(self, bounds: tuple[float, float], work: Callable[[], None]) -> None:
-        self.at(self._now + self._draw.uniform(*bounds), work)
+        self.at(self._now + self._random.uniform(*bounds), work)
 
     def run(self) -> Metrics:
         self.at(1.0, self._send_poison)
@@ -126,15 +126,18 @@
     def _choose_daemon(self) -> Daemon:
         if self._fault is Fault.ONE_SEES_ALL:
             return self._daemons[-1]
-        return self._draw.choice([each for each in self._daemons if not each.lost])
+        return self._random.choice([each for each in self._daemons if not each.lost])
 
     def _send_poison(self) -> None:
         daemon = self._choose_daemon()
         blocked = daemon.register.find_block(make_fingerprint(POISON).digest)
         if blocked is None and self._up:
-            if self._third_at is not None and self._now > self._third_at + KNOWN_WITHIN:
+            if (
+                self._third_crash_at is not None
+                and self._now > self._third_crash_at + KNOWN_WITHIN
+            ):
                 self.metrics.late_sends += 1
-            engine = self._draw.choice(sorted(self._up))
+            engine = self._random.choice(sorted(self._up))
             sent_at = self._now
             self.later(RUN_TIME, lambda: self._end_engine(engine, daemon, sent_at))
         self.later(RETRY_INTERVAL, self._send_poison)
@@ -143,7 +146,7 @@
         """Start others' requests: each daemon has some at each engine."""
         rate = OTHERS_PER_ENGINE / OTHER_RUN_TIME * len(self._up)
         for daemon in self._daemons:
-            if not daemon.lost and self._draw.random() < rate * 0.1:
+            if not daemon.lost and self._random.random() < rate * 0.1:
                 self._send_other(daemon, f"other-{next(self._sequence)}", repeats=1)
         self.later((0.1, 0.1), self._send_others)
 
@@ -154,17 +157,17 @@
         if daemon.register.find_block(make_fingerprint(name).digest) is not None:
             self.metrics.others_refused += 1
             return
-        flight = (self._draw.choice(sorted(self._up)), name, self._now)
-        daemon.flights.append(flight)
+        attempt = (self._random.choice(sorted(self._up)), name, self._now)
+        daemon.in_flight.append(attempt)
 
         def finish() -> None:
-            if flight in daemon.flights:
-                daemon.flights.remove(flight)
+            if attempt in daemon.in_flight:
+                daemon.in_flight.remove(attempt)
                 digest = make_fingerprint(name).digest
                 if daemon.register.is_suspect(digest):
                     clearing = make_clearing(make_fingerprint(name), self._now)
                     self._report(daemon, [clearing])
-            elif repeats and self._draw.random() < RETRIED_FRACTION:
+            elif repeats and self._random.random() < RETRIED_FRACTION:
                 self._send_other(self._choose_daemon(), name, repeats - 1)
 
         self.later((0.1, 2 * OTHER_RUN_TIME), finish)
@@ -179,12 +182,12 @@
         self._lives[engine] += 1
         self.metrics.ends += 1
         if self.metrics.ends == 3:
-            self._third_at = self._now
+            self._third_crash_at = self._now
             self.at(self._now + 0.001, self._poll_knowledge)
         self._inject_fault(sender)
         for daemon in self._daemons:
-            seen = [each for each in daemon.flights if each[0] == engine]
-            daemon.flights = [each for each in daemon.flights if each[0] != engine]
+            seen = [each for each in daemon.in_flight if each[0] == engine]
+            daemon.in_flight = [each for each in daemon.in_flight if each[0] != engine]
             facts: list[Fact] = [
                 Sighting(
                     make_fingerprint(name),
@@ -217,8 +220,8 @@
         known = all(
             each.lost or each.register.find_block(digest) for each in self._daemons
         )
-        if self._third_at is not None:
-            self.metrics.known_after = self._now - self._third_at
+        if self._third_crash_at is not None:
+            self.metrics.known_after = self._now - self._third_crash_at
         if not known:
             self.later((0.01, 0.01), self._poll_knowledge)
 
@@ -230,15 +233,15 @@
             return
         extra = 1.0 if self._fault is Fault.SLOW else 0.0
         received_at = max(
-            self._now + self._draw.uniform(*REPORT_DELAY),
+            self._now + self._random.uniform(*REPORT_DELAY),
             self._disconnected_until.get(daemon.group, 0.0),
         )
         for other in self._daemons:
             if other is daemon:
                 continue
-            delay = self._draw.uniform(*UPDATE_DELAY)
+            delay = self._random.uniform(*UPDATE_DELAY)
             if other.group != daemon.group:
-                delay += self._draw.uniform(*UPDATE_DELAY)
+                delay += self._random.uniform(*UPDATE_DELAY)
             self.at(
                 received_at + delay + extra,
                 lambda to=other: to.register.record_reported(facts),  # type: ignore[misc]
@@ -249,10 +252,12 @@
     return Fingerprint(1, Digest(name.encode().ljust(16, b".")))
 
 
-def play_seeds(
+def simulate_seeds(
     seeds: int, daemons: int, groups: int, sharing: Sharing, fault: Fault
 ) -> list[Metrics]:
-    return [Play(seed, daemons, groups, sharing, fault).run() for seed in range(seeds)]
+    return [
+        Simulation(seed, daemons, groups, sharing, fault).run() for seed in range(seeds)
+    ]
 
 
 def describe(played: list[Metrics]) -> str:
@@ -276,7 +281,7 @@
             for fault in Fault:
                 if sharing is Sharing.NONE and fault is not Fault.NONE:
                     continue
-                played = play_seeds(seeds, daemons, groups, sharing, fault)
+                played = simulate_seeds(seeds, daemons, groups, sharing, fault)
                 print(f"{daemons} daemons, {sharing.value}, {fault.value}: ", end="")
                 print(describe(played), flush=True)
 
--- a/tests/quotasim.py
+++ b/tests/quotasim.py
@@ -44,9 +44,9 @@
     rate: float = 100_000.0
     burst: float = 100_000.0
     base: float = 0.55
-    surge: float = 0.55
-    surge_from: float = 4.0
-    surge_to: float = 14.0
+    hot: float = 0.55
+    hot_from: float = 4.0
+    hot_to: float = 14.0
     skew: float = 0.5
     daemons: int = 74
     cut_off: float = 0.0
@@ -61,19 +61,17 @@
 
 LOADS = (
     Load("usual"),
-    Load("hot", surge=4.2),
-    Load("hot, few daemons asked", surge=4.2, skew=2.0),
-    Load("hot, small rate", rate=3_000.0, burst=3_000.0, surge=4.2),
-    Load("just below", base=0.9, surge=0.95),
-    Load("hot, a third cut off", surge=4.2, cut_off=0.33, cut_at=5.0, healed_at=13.0),
+    Load("hot", hot=4.2),
+    Load("hot, few daemons asked", hot=4.2, skew=2.0),
+    Load("hot, small rate", rate=3_000.0, burst=3_000.0, hot=4.2),
+    Load("just below", base=0.9, hot=0.95),
+    Load("hot, a third cut off", hot=4.2, cut_off=0.33, cut_at=5.0, healed_at=13.0),
     Load("usual, nearly all cut off", cut_off=0.92, cut_at=5.0, healed_at=16.0),
-    Load(
-        "hot, nearly all cut off", surge=3.3, cut_off=0.92, cut_at=5.0, healed_at=16.0
-    ),
-    Load("hot, a leader lost", surge=4.2, leader_lost_at=6.0),
-    Load("hot, all restarted", surge=4.2, all_restart_at=7.0),
-    Load("lowered to a tenth", base=0.9, surge=0.9, lowered_at=4.0, lowered_to=0.1),
-    Load("hot, 1,100 daemons", surge=4.2, daemons=1_100, length=12.0),
+    Load("hot, nearly all cut off", hot=3.3, cut_off=0.92, cut_at=5.0, healed_at=16.0),
+    Load("hot, a leader lost", hot=4.2, leader_lost_at=6.0),
+    Load("hot, all restarted", hot=4.2, all_restart_at=7.0),
+    Load("lowered to a tenth", base=0.9, hot=0.9, lowered_at=4.0, lowered_to=0.1),
+    Load("hot, 1,100 daemons", hot=4.2, daemons=1_100, length=12.0),
 )
 
 
@@ -81,12 +79,12 @@
 class Outcome:
     """The results of a load.
 
-    ``overrun`` is the maximum that ran in a window as a fraction of the allowed
+    ``over`` is the maximum that ran in a window as a fraction of the allowed
     maximum. ``wrongly_refused`` is the fraction of the units within the limit that was
     refused.
     """
 
-    overrun: float
+    over: float
     wrongly_refused: float
 
 
@@ -97,7 +95,7 @@
     limiter: Limiter
     group: int
     weight: float
-    cut: bool = False
+    partitioned: bool = False
     phase: int = 0
 
 
@@ -167,7 +165,7 @@
                     self._report(daemon)
             if self._is_due(REPORT_STEPS // 2):
                 self._send_throttles()
-        return Outcome(self._measure_overrun(), self._measure_wrongly_refused())
+        return Outcome(self._measure_over(), self._measure_wrongly_refused())
 
     def _is_due(self, phase: int) -> bool:
         return (round(self.now / TICK) - phase) % REPORT_STEPS == 0
@@ -186,7 +184,9 @@
 
         if at(load.cut_at) or at(load.healed_at):
             for number, daemon in enumerate(self.daemons):
-                daemon.cut = at(load.cut_at) and number < load.cut_off * load.daemons
+                daemon.partitioned = (
+                    at(load.cut_at) and number < load.cut_off * load.daemons
+                )
         if at(load.leader_lost_at):
             self.leaders[0] = None
         if at(load.leader_lost_at + RE_ELECTION_TIME):
@@ -205,8 +205,8 @@
 
     def _send_requests(self) -> None:
         load = self.load
-        surge = load.surge_from <= self.now < load.surge_to
-        units = (load.surge if surge else load.base) * load.rate * TICK
+        hot = load.hot_from <= self.now < load.hot_to
+        units = (load.hot if hot else load.base) * load.rate * TICK
         weights = [each.weight for each in self.daemons]
         asked = random.gauss(units, 0.2 * units) + self._carried
         while asked > 0:
@@ -235,8 +235,8 @@
     def _choose_leader(self, daemon: SimDaemon) -> SimLeader | None:
         """Return the leader that a daemon follows, another one soon after a failure."""
         leader = self.leaders[daemon.group]
-        if leader is not None or daemon.cut:
-            return None if daemon.cut else leader
+        if leader is not None or daemon.partitioned:
+            return None if daemon.partitioned else leader
         if self.now < self.load.leader_lost_at + FAILOVER_TIME:
             return None
         return next((each for each in self.leaders if each is not None), None)
@@ -247,19 +247,19 @@
             return
         spendings = daemon.limiter.pop_spendings()
 
-        def take() -> None:
+        def apply() -> None:
             leader.ledger.record(spendings, self.now)
             for number in range(GROUPS):
                 leader.unsent[number].add(spendings)
 
-        self._post(take)
+        self._post(apply)
 
     def _send_throttles(self) -> None:
         for number, leader in enumerate(self.leaders):
             if leader is None:
                 continue
             self._report_to_leaders(number, leader)
-            connected = sum(not each.cut for each in self.daemons)
+            connected = sum(not each.partitioned for each in self.daemons)
             leader.ledger.record_daemon_count(connected, self.now)
             throttles = leader.ledger.make_throttles(self.now)
             for daemon in self.daemons:
@@ -275,7 +275,7 @@
             ledger = other.ledger
             self._post(lambda to=ledger, s=spendings: to.record(s, self.now))  # type: ignore[misc]
 
-    def _measure_overrun(self) -> float:
+    def _measure_over(self) -> float:
         """Return the maximum of a window as a fraction of the allowed maximum.
 
         A lowered limit applies a window and some seconds after it was set.
@@ -306,13 +306,13 @@
     for load in loads:
         for limiter_name in limiter_names:
             ran = [Simulation(load, limiter_name, seed).run() for seed in range(seeds)]
-            overrun = sorted(each.overrun for each in ran)
+            over = sorted(each.over for each in ran)
             wrongly_refused = sum(each.wrongly_refused for each in ran) / seeds
-            late = overrun[int(0.99 * (seeds - 1))]
-            broke = sum(each > 1.0 for each in overrun)
+            p99 = over[int(0.99 * (seeds - 1))]
+            broken = sum(each > 1.0 for each in over)
             lines.append(
-                f"{load.name} | {limiter_name} | {late:.2f} | {overrun[-1]:.2f} | "
-                f"{broke} | {wrongly_refused:.3f}"
+                f"{load.name} | {limiter_name} | {p99:.2f} | {over[-1]:.2f} | "
+                f"{broken} | {wrongly_refused:.3f}"
             )
     return lines
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -23,7 +23,7 @@
     return WeightsKey(MODEL, f"a{number}")
 
 
-def test_what_an_engine_dropped_lately_is_kept_there() -> None:
+def test_recently_unloaded_adapters_have_copies() -> None:
     table = CopyTable()
     table.record_dropped(FIRST, make_key(1))
     table.record_dropped(SECOND, make_key(1))
@@ -38,7 +38,7 @@
     assert table.list_engines(WeightsKey(MODEL)) == []
 
 
-def test_how_many_copies_engines_keep_is_learned_from_loads() -> None:
+def test_the_depth_is_learned_from_loads() -> None:
     table = CopyTable()
     for number in range(100):
         table.record_dropped(FIRST, make_key(number))
@@ -51,7 +51,7 @@
     assert table.has_copy(FIRST, make_key(95))
 
 
-def test_a_load_that_was_slow_for_another_reason_is_made_up_for() -> None:
+def test_fast_loads_compensate_for_a_slow_load() -> None:
     table = CopyTable()
     table.record_load(2, fast=False)
     assert table.depth < INITIAL_DEPTH - 5
@@ -60,7 +60,7 @@
     assert table.depth >= INITIAL_DEPTH
 
 
-def test_what_was_slow_far_back_tells_nothing_of_what_is_near() -> None:
+def test_a_slow_load_beyond_the_depth_changes_nothing() -> None:
     table = CopyTable()
     table.record_load(INITIAL_DEPTH + 10, fast=False)
     assert table.depth == INITIAL_DEPTH
@@ -76,7 +76,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(strategies.lists(strategies.integers(0, 9), max_size=60))
-def test_the_age_counts_the_drops_since(drops: list[int]) -> None:
+def test_the_age_counts_unloads(drops: list[int]) -> None:
     table = CopyTable()
     for number in drops:
         table.record_dropped(FIRST, make_key(number))
@@ -103,7 +103,7 @@
     ]
 
 
-async def test_an_adapter_waits_a_moment_for_the_engine_with_its_copy() -> None:
+async def test_an_adapter_waits_briefly_for_the_engine_with_its_copy() -> None:
     kept = keep_copy(replace(make_view("e1", "north"), ready=False), 7)
     engines = [make_view("e2", "north"), kept]
     assert plan(engines, make_requested("a7", 1)) == []
@@ -111,21 +111,21 @@
     assert plan(engines, waited) == [("e2", "a7")]
 
 
-async def test_two_copies_on_one_engine_come_one_after_the_other() -> None:
+async def test_two_copies_on_one_engine_are_loaded_in_sequence() -> None:
     kept = replace(make_view("e1", "north"), warm=frozenset({make_key(7), make_key(8)}))
     engines = [make_view("e2", "north"), kept]
     requested = (make_requested("a7", 1), make_requested("a8", 1))
     assert plan(engines, *requested) == [("e1", "a7")]
 
 
-async def test_loads_from_the_store_leave_a_way_to_copies() -> None:
+async def test_loads_from_the_store_leave_a_load_slot_for_copies() -> None:
     kept = keep_copy(replace(make_view("e1", "north"), ready_for_cold=False), 7)
     assert plan([kept], make_requested("a8", 1)) == []
     assert plan([kept], make_requested("a7", 1)) == [("e1", "a7")]
 
 
 @pytest.mark.looptime
-async def test_a_copy_comes_at_once_beside_loads_from_the_store() -> None:
+async def test_a_copy_is_loaded_at_once_besides_loads_from_the_store() -> None:
     """Send bursts of requests for three new adapters and one that was held recently.
 
     The request for the latter waits 0.04 s on average; the wait is 0.16 s if loads from
--- a/tests/test_ends.py
+++ b/tests/test_ends.py
@@ -11,7 +11,7 @@
 from kestreltally.fleet.model import Endpoint, EndpointId, RequestKind, ServiceSpec
 from kestreltally.platform.headers import RequestHead
 from kestreltally.poison.crashes import (
-    FLIGHT_RETENTION,
+    ATTEMPT_RETENTION,
     MIN_SILENCE,
     Attempt,
     CrashDetector,
@@ -166,7 +166,7 @@
 async def test_request_that_ended_long_ago_is_not_linked_to_the_end() -> None:
     rig = Rig()
     rig.watch.end(rig.send(make_endpoint()))
-    rig.clock.now += FLIGHT_RETENTION + 0.1
+    rig.clock.now += ATTEMPT_RETENTION + 0.1
     rig.watch.prune_old()
     rig.watch.record_refused(make_endpoint())
     assert rig.list_incarnations() == set()
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -244,7 +244,7 @@
         failed = Outcome(EndpointId(name), whole=0, failed=9)
         rig.leader.endpoint_health.record(failed, asyncio.get_running_loop().time())
     await asyncio.sleep(0.1)
-    assert sum(each.spared for each in rig.fleet.endpoints.values()) == 1
+    assert sum(each.quarantined for each in rig.fleet.endpoints.values()) == 1
     rig.close()
 
 
@@ -259,7 +259,7 @@
     clock = asyncio.get_running_loop().time
     key = WeightsKey(MODEL, "a7")
     (holder,) = rig.fleet.list_holders(MODELS, key, clock())
-    rig.fleet.notices.record(holder, Notice(leaves=True, rest=0.0), clock())
+    rig.fleet.notices.record(holder, Notice(leaves=True, backoff=0.0), clock())
     rig.leader.record_notice(holder.id)
     assert rig.fleet.list_holders(MODELS, key, clock()) == []
     await asyncio.sleep(2 * LOAD_TIME)
@@ -275,7 +275,7 @@
     await asyncio.sleep(0.5)
     clock = asyncio.get_running_loop().time
     (engine,) = rig.fleet.endpoints.values()
-    rig.fleet.notices.record(engine, Notice(leaves=False, rest=3.0), clock())
+    rig.fleet.notices.record(engine, Notice(leaves=False, backoff=3.0), clock())
     rig.ask(8)
     await asyncio.sleep(2.9)
     assert not rig.is_held(8)
--- a/tests/test_limit_table.py
+++ b/tests/test_limit_table.py
@@ -22,10 +22,10 @@
 )
 from kestreltally.platform.headers import list_unrecognised, read_notice
 from tests.limitsim import simulate
-from tests.test_notice_table import ENDPOINT, LEAVING, NOW, REBORN, RESTING
+from tests.test_notice_table import BACKING_OFF, ENDPOINT, LEAVING, NOW, REBORN
 from tests.windows import WINDOW
 
-LIMITED = Notice(leaves=False, rest=0.0, limit=2.0)
+LIMITED = Notice(leaves=False, backoff=0.0, limit=2.0)
 ISSUER_REACHABLE = IssuerState(known=True, daemons=6)
 ENDPOINT_ID = EndpointId("e")
 
@@ -56,13 +56,13 @@
 ) -> None:
     headers = CIMultiDict([("Server-Limit", value) for value in values])
     for status in (200, 421, 500, 503):
-        expected = Notice(leaves=False, rest=0.0, limit=limit, malformed=malformed)
+        expected = Notice(leaves=False, backoff=0.0, limit=limit, malformed=malformed)
         assert read_notice(status, headers) == expected
     assert list_unrecognised(200, headers) == []
 
 
 def test_unreadable_limit_neither_starts_nor_ends_a_limit() -> None:
-    malformed = Notice(leaves=False, rest=0.0, malformed=True)
+    malformed = Notice(leaves=False, backoff=0.0, malformed=True)
     standing = RateLimitState()
     assert not standing.receive(malformed, NOW, NOW, from_request=True)
     assert standing.limit is None
@@ -157,7 +157,7 @@
 def test_leaving_backoff_and_limit_apply_together() -> None:
     table = NoticeTable()
     table.get_issuer_state = lambda _: ISSUER_REACHABLE
-    table.record(ENDPOINT, replace(RESTING, limit=2.0), NOW)
+    table.record(ENDPOINT, replace(BACKING_OFF, limit=2.0), NOW)
     limit = table.get_rate_limit(ENDPOINT.id, ENDPOINT.born)
     assert limit is not None
     limit.credits.append(NOW + 60)
--- a/tests/test_notice_table.py
+++ b/tests/test_notice_table.py
@@ -38,13 +38,13 @@
     born=1_000,
 )
 REBORN = replace(ENDPOINT, born=2_000)
-LEAVING = Notice(leaves=True, rest=0.0)
-RESTING = Notice(leaves=False, rest=3.0)
+LEAVING = Notice(leaves=True, backoff=0.0)
+BACKING_OFF = Notice(leaves=False, backoff=3.0)
 NOW = 50.0
 
 
 @pytest.mark.parametrize(
-    ("values", "rest"),
+    ("values", "backoff"),
     [
         (["3"], 3.0),
         (["0.25"], 0.25),
@@ -68,9 +68,11 @@
         (["-1", "2"], 2.0),
     ],
 )
-def test_each_time_of_rest_has_one_meaning(values: list[str], rest: float) -> None:
+def test_each_retry_after_value_has_one_meaning(
+    values: list[str], backoff: float
+) -> None:
     headers = CIMultiDict([("Retry-After", value) for value in values])
-    assert read_notice(503, headers) == Notice(leaves=False, rest=rest)
+    assert read_notice(503, headers) == Notice(leaves=False, backoff=backoff)
     # Retry-After is a backoff request only with a rejection.
     assert read_notice(429, headers) == read_notice(200, headers) == EMPTY_NOTICE
 
@@ -80,11 +82,11 @@
     headers = CIMultiDict([("Retry-After", value) for value in values])
     headers["Server-Leaving"] = leaving
     notice = read_notice(503, headers)
-    assert 0.0 <= notice.rest <= MAX_BACKOFF
+    assert 0.0 <= notice.backoff <= MAX_BACKOFF
     assert notice.leaves == (leaving.strip() == "1")
 
 
-def test_leaving_ends_with_that_start_of_the_endpoint() -> None:
+def test_leaving_ends_with_the_incarnation() -> None:
     table = NoticeTable()
     table.record(ENDPOINT, LEAVING, NOW)
     assert table.apply_to(ENDPOINT).leaving
@@ -95,18 +97,18 @@
     assert table.compute_backoff(REBORN, NOW) == 0.0
 
 
-def test_a_late_answer_of_an_earlier_start_says_nothing_of_the_newer() -> None:
+def test_a_late_answer_of_an_earlier_incarnation_is_ignored() -> None:
     table = NoticeTable()
-    table.record(REBORN, RESTING, NOW)
+    table.record(REBORN, BACKING_OFF, NOW)
     table.record(ENDPOINT, LEAVING, NOW + 1)
     assert not table.apply_to(REBORN).leaving
     assert table.compute_backoff(REBORN, NOW + 1) == 2.0
 
 
-def test_nothing_leaves_for_an_endpoint_that_rests_and_one_tries_it_then() -> None:
+def test_nothing_is_sent_during_a_backoff_and_one_trial_after_it() -> None:
     table = NoticeTable()
-    table.record(ENDPOINT, RESTING, NOW)
-    table.record(ENDPOINT, replace(RESTING, rest=1.0), NOW + 0.5)
+    table.record(ENDPOINT, BACKING_OFF, NOW)
+    table.record(ENDPOINT, replace(BACKING_OFF, backoff=1.0), NOW + 0.5)
     for after in (0.0, 1.6, 2.9):
         with pytest.raises(Unavailable):
             table.start_send(ENDPOINT, NOW + after)
@@ -131,7 +133,7 @@
 
 def test_a_trial_that_gets_no_answer_is_followed_by_another() -> None:
     table = NoticeTable()
-    table.record(ENDPOINT, RESTING, NOW)
+    table.record(ENDPOINT, BACKING_OFF, NOW)
     assert table.start_send(ENDPOINT, NOW + 3.0)
     assert table.compute_backoff(ENDPOINT, NOW + 3.1) > 0
     assert table.start_send(ENDPOINT, NOW + 3.0 + TRIAL_TIMEOUT)
@@ -139,17 +141,17 @@
     assert table.start_send(ENDPOINT, NOW + 3.1 + TRIAL_TIMEOUT)
 
 
-def test_an_answer_to_what_was_sent_before_does_not_end_a_rest() -> None:
+def test_an_answer_to_an_earlier_request_does_not_end_a_backoff() -> None:
     table = NoticeTable()
-    table.record(ENDPOINT, RESTING, NOW)
+    table.record(ENDPOINT, BACKING_OFF, NOW)
     table.record(ENDPOINT, EMPTY_NOTICE, NOW + 0.2)
     assert table.compute_backoff(ENDPOINT, NOW + 0.2) == pytest.approx(2.8)
 
 
-def test_what_another_daemon_was_asked_binds_nobody_here_but_the_planning() -> None:
+def test_a_backoff_of_another_daemon_affects_planning_only() -> None:
     table = NoticeTable()
-    told = KnownNotice(ENDPOINT.id, ENDPOINT.born, leaves=False, rest=2.0)
-    table.apply_reported([told], NOW)
+    reported = KnownNotice(ENDPOINT.id, ENDPOINT.born, leaves=False, backoff=2.0)
+    table.apply_reported([reported], NOW)
     assert table.compute_backoff(ENDPOINT, NOW) == 0.0
     assert table.is_constrained(ENDPOINT, NOW + 1.9)
     assert not table.is_constrained(ENDPOINT, NOW + 2.1)
@@ -157,7 +159,7 @@
     assert table.list_known(NOW) == []
 
 
-def test_that_an_endpoint_leaves_is_told_on_and_news_once() -> None:
+def test_leaving_is_forwarded_and_notified_once() -> None:
     news: list[EndpointId] = []
     first, second = NoticeTable(), NoticeTable()
     second.notify_change = news.append
@@ -169,9 +171,9 @@
     assert second.list_known(NOW) == first.list_known(NOW)
 
 
-def test_what_is_over_is_forgotten() -> None:
+def test_expired_notices_are_removed() -> None:
     table = NoticeTable()
-    table.record(ENDPOINT, RESTING, NOW)
+    table.record(ENDPOINT, BACKING_OFF, NOW)
     table.record(REBORN, LEAVING, NOW)
     for after in range(200):
         table.prune_old({ENDPOINT.id}, NOW + after)
@@ -181,30 +183,30 @@
 
 
 @pytest.mark.parametrize("seed", range(200))
-def test_under_any_answers_none_is_sent_within_a_rest(seed: int) -> None:
+def test_no_answers_allow_a_send_during_a_backoff(seed: int) -> None:
     random = Random(seed)
     table = NoticeTable()
-    rests_until, now, asleep, answers = 0.0, NOW, False, 0
+    backoff_until, now, backing_off, answers = 0.0, NOW, False, 0
     sends: list[float] = []
     for _ in range(300):
         now += random.choice([0.0, 0.01, 0.1, 0.7])
         if random.random() < 0.2:
-            rest = random.choice([0.2, 1.0, 3.0])
-            table.record(ENDPOINT, Notice(leaves=False, rest=rest), now)
-            rests_until, asleep = max(rests_until, now + rest), True
+            backoff = random.choice([0.2, 1.0, 3.0])
+            table.record(ENDPOINT, Notice(leaves=False, backoff=backoff), now)
+            backoff_until, backing_off = max(backoff_until, now + backoff), True
             answers = 0
         elif random.random() < 0.5:
             table.record(ENDPOINT, EMPTY_NOTICE, now)
-            if asleep and now >= rests_until:
+            if backing_off and now >= backoff_until:
                 answers += 1
-                asleep = 1 + answers < MAX_TRIALS
+                backing_off = 1 + answers < MAX_TRIALS
         try:
             trial = table.start_send(ENDPOINT, now)
         except Unavailable:
-            assert asleep
+            assert backing_off
             continue
-        assert now >= rests_until
-        assert trial == asleep
+        assert now >= backoff_until
+        assert trial == backing_off
         sends.append(now)
         if random.random() < 0.7:
             table.end_trial(ENDPOINT)
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -32,20 +32,20 @@
 ADAPTER = {"X-Model-Name": "base/a1"}
 LEAVING = b"Server-Leaving: 1\r\n"
 # Requests in flight when an endpoint sends its notice may still reach it.
-ON_THE_WAY = 0.1
+IN_TRANSIT = 0.1
 
 
-def make_resting(rest: bytes) -> ScriptedEndpoint:
+def make_backing_off(retry_after: bytes) -> ScriptedEndpoint:
     """Return an endpoint that rejects all requests and names a time to retry."""
 
     async def turn_away(seen: SeenRequest, writer: asyncio.StreamWriter) -> None:
-        heads = b"X-Not-Run: 1\r\nRetry-After: " + rest + b"\r\n"
+        heads = b"X-Not-Run: 1\r\nRetry-After: " + retry_after + b"\r\n"
         writer.write(make_answer(seen, b"", b"503 Service Unavailable", heads))
 
     return ScriptedEndpoint("e1", turn_away)
 
 
-async def answer_whole(seen: SeenRequest, writer: asyncio.StreamWriter) -> None:
+async def answer_fully(seen: SeenRequest, writer: asyncio.StreamWriter) -> None:
     writer.write(make_answer(seen))
 
 
@@ -58,14 +58,14 @@
         (b"421 Misdirected Request", LEAVING),
     ],
 )
-async def test_an_endpoint_whose_answers_say_that_it_leaves_gets_no_new_work(
+async def test_an_endpoint_whose_answers_announce_leaving_gets_no_new_requests(
     status: bytes, heads: bytes
 ) -> None:
     async def answer(seen: SeenRequest, writer: asyncio.StreamWriter) -> None:
         writer.write(make_answer(seen, status=status, extra=heads))
 
     leaving = ScriptedEndpoint("e1", answer)
-    staying = ScriptedEndpoint("e2", answer_whole)
+    staying = ScriptedEndpoint("e2", answer_fully)
     async with run_entry([leaving, staying], make_route()) as rig:
         await rig.ask()
         assert len(leaving.seen) == 1
@@ -76,24 +76,24 @@
     assert len(leaving.seen) == 1
 
 
-async def test_an_endpoint_that_asks_for_rest_gets_it() -> None:
-    resting = make_resting(b"0.8")
-    awake = ScriptedEndpoint("e2", answer_whole)
-    async with run_entry([resting, awake], make_route(UNSAFE)) as rig:
+async def test_an_endpoint_that_asks_for_backoff_is_not_called() -> None:
+    backing_off = make_backing_off(b"0.8")
+    available = ScriptedEndpoint("e2", answer_fully)
+    async with run_entry([backing_off, available], make_route(UNSAFE)) as rig:
         replies = [
             await rig.ask("POST", body=b"x", request_id=f"q{number}")
             for number in range(20)
         ]
         assert [each.status for each in replies] == [200] * 20
-        assert len(resting.seen) == 1
+        assert len(backing_off.seen) == 1
         await asyncio.sleep(0.9)
         await rig.ask("POST", body=b"x", request_id="later")
-        assert len(resting.seen) == 2
+        assert len(backing_off.seen) == 2
 
 
-async def test_who_alone_could_serve_is_not_asked_while_it_rests() -> None:
-    resting = make_resting(b"3.00")
-    async with run_entry([resting], make_route(UNSAFE, timeout=1.0)) as rig:
+async def test_the_only_endpoint_is_not_called_while_backing_off() -> None:
+    backing_off = make_backing_off(b"3.00")
+    async with run_entry([backing_off], make_route(UNSAFE, timeout=1.0)) as rig:
         loop = asyncio.get_running_loop()
         for number in range(10):
             began = loop.time()
@@ -102,16 +102,16 @@
             assert loop.time() - began < 0.2
             # Correct, and spread, so that clients do not all retry at the same moment.
             assert 2.0 < float(reply.headers["retry-after"]) < 4.5
-    assert len(resting.seen) == 1
+    assert len(backing_off.seen) == 1
 
 
-async def test_what_was_chosen_before_the_word_is_not_sent_after_it() -> None:
+async def test_a_request_assigned_before_a_notice_is_not_sent_after_it() -> None:
     # Many at once: all have chosen the endpoint and wait for a connection when the
     # notice arrives.
-    resting = make_resting(b"2.0")
-    resting.service = MODELS
+    backing_off = make_backing_off(b"2.0")
+    backing_off.service = MODELS
     route = make_route(STREAM, service=MODELS, timeout=1.5, resumable=True)
-    async with run_entry([resting], route) as rig:
+    async with run_entry([backing_off], route) as rig:
         first = await rig.ask("POST", headers=ADAPTER, request_id="first")
         assert first.status == 503
         await asyncio.gather(
@@ -120,10 +120,10 @@
                 for number in range(30)
             )
         )
-    assert len(resting.seen) == 1
+    assert len(backing_off.seen) == 1
 
 
-async def ask_for_a_while(rig: FleetRig, vm: str, adapter: str, name: str) -> int:
+async def send_for_a_while(rig: FleetRig, vm: str, adapter: str, name: str) -> int:
     """Send requests for 3 s; return how many were not served."""
     loop = asyncio.get_running_loop()
     began, number, missed = loop.time(), 0, 0
@@ -135,39 +135,39 @@
     return missed
 
 
-async def test_a_leaving_engine_gets_no_new_work_though_the_store_is_away() -> None:
+async def test_a_leaving_engine_gets_no_requests_during_a_store_outage() -> None:
     async with run_fleet() as rig:
         assert (await rig.ask("north-1", "/m/x", "a1", "begin")).whole
         (engine,) = [each for each in rig.engines if "a1" in each.held]
         rig.store.faults.set(down=True)
         engine.says_leaving = True
         loop = asyncio.get_running_loop()
-        told_at = loop.time()
-        asked = (ask_for_a_while(rig, vm, "a1", vm) for vm in rig.daemons)
+        announced_at = loop.time()
+        asked = (send_for_a_while(rig, vm, "a1", vm) for vm in rig.daemons)
         missed = await asyncio.gather(*asked)
         # One daemon learns it from an answer, the other from that daemon.
-        late = [at for at in engine.arrivals if at > told_at + 1.0]
-        assert late == []
+        late_arrivals = [at for at in engine.arrivals if at > announced_at + 1.0]
+        assert late_arrivals == []
         # Its adapter is loaded by another engine while there is a leader.
         assert sum(missed) <= 2
 
 
-async def test_what_a_resting_engine_holds_is_brought_elsewhere() -> None:
+async def test_adapters_of_an_engine_backing_off_are_loaded_elsewhere() -> None:
     async with run_fleet() as rig:
         assert (await rig.ask("north-1", "/m/x", "a1", "begin")).whole
         (engine,) = [each for each in rig.engines if "a1" in each.held]
         assert engine.model == MODEL
-        rested_from = asyncio.get_running_loop().time()
-        engine.rests_until = rested_from + 5.0
-        asked = (ask_for_a_while(rig, vm, "a1", vm) for vm in rig.daemons)
+        backoff_from = asyncio.get_running_loop().time()
+        engine.rests_until = backoff_from + 5.0
+        asked = (send_for_a_while(rig, vm, "a1", vm) for vm in rig.daemons)
         missed = await asyncio.gather(*asked)
         # One request of each daemon is rejected with the backoff.
-        during = [at for at in engine.arrivals if at > rested_from + ON_THE_WAY]
+        during = [at for at in engine.arrivals if at > backoff_from + IN_TRANSIT]
         assert len(during) <= len(rig.daemons)
         assert sum(missed) <= 2
 
 
-async def test_what_an_engine_holds_that_turns_all_away_is_brought_elsewhere() -> None:
+async def test_adapters_of_an_engine_that_rejects_all_are_loaded_elsewhere() -> None:
     # Guards against ignoring a 503 without a time: the only holder was called again
     # until the retry budget was used up.
     async with run_fleet() as rig:
@@ -175,7 +175,7 @@
         (engine,) = [each for each in rig.engines if "a1" in each.held]
         engine.sheds = True
         began = asyncio.get_running_loop().time()
-        asked = (ask_for_a_while(rig, vm, "a1", vm) for vm in rig.daemons)
+        asked = (send_for_a_while(rig, vm, "a1", vm) for vm in rig.daemons)
         missed = await asyncio.gather(*asked)
         arrived = [at for at in engine.arrivals if at > began]
         # Three requests of each daemon are rejected, then a few trials follow.
@@ -183,7 +183,7 @@
         assert sum(missed) <= 4
 
 
-async def test_an_endpoint_that_turns_a_part_away_is_used_on() -> None:
+async def test_an_endpoint_that_rejects_some_requests_stays_in_use() -> None:
     # Guards against backing off from an engine that was full for a moment.
     refusing = 0
 
@@ -204,7 +204,7 @@
     assert [each.status for each in replies] == [200] * 4
 
 
-async def test_all_daemons_heed_an_endpoints_word_soon() -> None:
+async def test_all_daemons_apply_a_notice_soon() -> None:
     async with run_fleet() as rig:
         await rig.add_daemons_up_to(8)
         await asyncio.sleep(1.0)
@@ -214,10 +214,10 @@
         loop = asyncio.get_running_loop()
         while not any(_is_leaving(rig, vm, engine.id) for vm in rig.daemons):
             await rig.ask("north-4", "/a/x")
-        heard_at = loop.time()
+        received_at = loop.time()
         while not all(_is_leaving(rig, vm, engine.id) for vm in rig.daemons):
             await asyncio.sleep(0.01)
-            assert loop.time() - heard_at < 1.0
+            assert loop.time() - received_at < 1.0
 
 
 def _is_leaving(rig: FleetRig, vm: str, engine: str) -> bool:
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -17,26 +17,26 @@
 from tests.poisonrig import PoisonRig, make_deadly, run_poison_fleet
 
 # The third crash, and those for which a report in transit may come too late.
-MAX_ENDS = 3
+MAX_CRASHES = 3
 
 
-async def test_a_request_that_ends_engines_is_soon_stopped_everywhere() -> None:
+async def test_a_request_that_crashes_engines_is_soon_stopped_everywhere() -> None:
     async with run_poison_fleet() as rig:
         await rig.send_until_stopped()
-        assert len(rig.crashes) == MAX_ENDS
+        assert len(rig.crashes) == MAX_CRASHES
         for number, vm in enumerate(rig.daemons):
             again = await rig.send(vm, make_deadly(), f"again-{number}")
             assert again is not None and again.status == 503
             assert float(again.headers["retry-after"]) > 60
             reply = await rig.send(vm, b"sound", f"sound-{number}")
             assert reply is not None and reply.status == 200 and reply.whole
-        assert len(rig.crashes) == MAX_ENDS
+        assert len(rig.crashes) == MAX_CRASHES
 
 
 async def get_request_stopped(rig: PoisonRig) -> list[str]:
     """Send a request until it is stopped; return the daemons."""
     await rig.send_until_stopped()
-    assert len(rig.crashes) == MAX_ENDS
+    assert len(rig.crashes) == MAX_CRASHES
     return list(rig.daemons)
 
 
@@ -47,7 +47,7 @@
             url = f"http://127.0.0.1:{rig.daemons[vms[1]]._deployment.metrics_port}"
             async with session.get(f"{url}/poison") as answer:
                 (listed,) = await answer.json()
-            assert listed["ends"] == MAX_ENDS and listed["stopped"]
+            assert listed["ends"] == MAX_CRASHES and listed["stopped"]
             pardon = f"{url}/poison/pardon?content="
             async with session.post(f"{pardon}beef") as answer:
                 assert answer.status == 404 and "beef" in await answer.text()
@@ -58,7 +58,7 @@
             assert daemon._relay.poison.register.count()["stopped"] == 0
 
 
-async def test_a_leader_that_starts_again_learns_what_its_followers_know() -> None:
+async def test_a_restarted_leader_learns_facts_from_its_followers() -> None:
     # Guards against a restarted leader that makes a new secret: all others adopt it and
     # discard what they know of a request that crashes engines.
     async with run_poison_fleet() as rig:
@@ -77,10 +77,10 @@
             assert poison.register.count()["stopped"] == 1
             reply = await rig.send(vm, make_deadly(), f"again-{vm}")
             assert reply is not None and reply.status == 503
-        assert len(rig.crashes) == MAX_ENDS
+        assert len(rig.crashes) == MAX_CRASHES
 
 
-async def test_what_is_stopped_outlasts_the_loss_of_all_daemons() -> None:
+async def test_stopped_requests_survive_a_failure_of_all_daemons() -> None:
     async with run_poison_fleet() as rig:
         vms = await get_request_stopped(rig)
         await asyncio.sleep(0.6)
@@ -94,10 +94,10 @@
             assert reply is not None and reply.status == 503
             reply = await rig.send(vm, b"sound", f"sound-{vm}")
             assert reply is not None and reply.status == 200
-        assert len(rig.crashes) == MAX_ENDS
+        assert len(rig.crashes) == MAX_CRASHES
 
 
-async def test_odd_records_are_left_out() -> None:
+async def test_malformed_records_are_ignored() -> None:
     async with run_poison_fleet() as rig:
         await rig.store.put("kestreltally-poison", "north", {"secret": 5})
         await rig.store.put("kestreltally-poison", "other", ["?"])
@@ -108,7 +108,7 @@
         assert await keeper._write([])
 
 
-async def test_what_is_stopped_is_written_again_once_the_store_has_lost_it() -> None:
+async def test_stopped_requests_are_written_again_after_a_store_restore() -> None:
     # The store is restored from a backup, and then all daemons fail at once.
     async with run_poison_fleet() as rig:
         kept = rig.store.copy()
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -27,24 +27,24 @@
 
 
 @pytest.mark.parametrize("load", LOADS[:-1], ids=lambda load: load.name)
-def test_what_runs_stays_within_the_bound(load: Load) -> None:
+def test_granted_units_stay_within_the_bound(load: Load) -> None:
     outcome = Simulation(load, DEFAULT, seed=7).run()
-    assert outcome.overrun <= 1.0
+    assert outcome.over <= 1.0
 
 
 @pytest.mark.parametrize("load", [LOADS[0], LOADS[4]], ids=lambda load: load.name)
-def test_nothing_below_the_limit_is_refused(load: Load) -> None:
+def test_requests_below_the_limit_are_not_refused(load: Load) -> None:
     assert Simulation(load, DEFAULT, seed=7).run().wrongly_refused == 0.0
 
 
-def test_equal_parts_refuse_what_unevenly_asked_daemons_may_run() -> None:
+def test_equal_limiter_refuses_requests_within_the_limit_under_skewed_load() -> None:
     # Verifies that the simulation can distinguish limiters.
     assert Simulation(LOADS[2], "equal", seed=7).run().wrongly_refused > 0.2
 
 
 @settings(max_examples=25, deadline=None, derandomize=True)
 @given(
-    surge=st.floats(1.0, 8.0),
+    hot=st.floats(1.0, 8.0),
     skew=st.floats(0.0, 2.0),
     daemons=st.integers(3, 60),
     rate=st.sampled_from([2_000.0, 20_000.0, 160_000.0]),
@@ -55,7 +55,7 @@
     seed=st.integers(0, 1_000),
 )
 def test_no_schedule_of_cuts_and_lost_leaders_runs_beyond_the_bound(
-    surge: float,
+    hot: float,
     skew: float,
     daemons: int,
     rate: float,
@@ -69,7 +69,7 @@
         "drawn",
         rate=rate,
         burst=rate,
-        surge=surge,
+        hot=hot,
         skew=skew,
         daemons=daemons,
         cut_off=cut_off,
@@ -78,7 +78,7 @@
         leader_lost_at=lost_at,
         length=14.0,
     )
-    assert Simulation(load, DEFAULT, seed).run().overrun <= 1.0
+    assert Simulation(load, DEFAULT, seed).run().over <= 1.0
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
         "surge",
         rate=20_000.0,
         burst=20_000.0,
-        surge=7.0,
+        hot=7.0,
         skew=skew,
         daemons=daemons,
         cut_off=cut_off,
@@ -110,10 +110,10 @@
         healed_at=healed_at,
         length=14.0,
     )
-    assert Simulation(load, DEFAULT, seed).run().overrun <= 1.0
+    assert Simulation(load, DEFAULT, seed).run().over <= 1.0
 
 
-def test_words_name_only_who_is_near_the_limit() -> None:
+def test_throttles_list_only_organisations_near_the_limit() -> None:
     ledger = make_ledger()
     ledger.make_throttles(100.0)
     ledger.record([Spending(NAME, 150, 150)], now=100.0)
@@ -128,7 +128,7 @@
     )
 
 
-def test_all_that_ask_are_named_now_and_then() -> None:
+def test_all_active_organisations_are_reported_periodically() -> None:
     # Daemons that lose contact to the leaders then know their share of the requests.
     ledger = make_ledger()
     ledger.record([Spending(NAME, 100, 100)], now=100.0)
@@ -139,7 +139,7 @@
     assert ledger.make_throttles(101.1) != []
 
 
-def test_daemons_that_are_missed_are_taken_to_spend_their_share() -> None:
+def test_missing_daemons_count_as_spending_their_share() -> None:
     ledger = make_ledger()
     ledger.record_daemon_count(10, now=100.0)
     ledger.record([Spending(NAME, 4_500, 4_500)], now=100.0)
@@ -155,7 +155,7 @@
     assert later.wait < 1.1 * whole.wait
 
 
-def test_daemons_counted_twice_for_a_moment_make_none_missing() -> None:
+def test_daemons_briefly_counted_twice_make_none_missing() -> None:
     ledger = make_ledger()
     for tenth in range(200):
         ledger.record_daemon_count(10, now=100.0 + tenth / 10)
@@ -167,7 +167,7 @@
     assert throttle.wait < 1.2 * 4_500 / 1_000
 
 
-def test_a_cut_off_daemon_goes_on_at_its_pace_below_the_limit() -> None:
+def test_an_isolated_daemon_keeps_its_rate_below_the_limit() -> None:
     clock = ManualClock()
     limiter = LIMITERS[DEFAULT](clock, BOUNDS)
     limiter.daemons = 10
@@ -180,7 +180,7 @@
     assert granted > 950
 
 
-def test_a_raised_limit_is_there_at_once() -> None:
+def test_a_raised_limit_applies_at_once() -> None:
     ledger = make_ledger()
     ledger.record([Spending(NAME, 2_000, 2_000)], now=100.0)
     raised = Quota(QuotaUnit.TOKENS, 50_000.0, 50_000.0, 200)
@@ -205,7 +205,7 @@
     assert limiter.grant(NAME, QUOTA, 50_000) is None
 
 
-def test_without_word_a_daemon_grants_little() -> None:
+def test_a_daemon_without_throttles_grants_a_fraction() -> None:
     clock = ManualClock()
     limiter = LIMITERS[DEFAULT](clock, BOUNDS)
     limiter.daemons = 10
@@ -217,7 +217,7 @@
     assert granted <= 0.1 * QUOTA.rate * 10 + 200
 
 
-def test_losing_the_word_again_and_again_grants_no_more() -> None:
+def test_repeated_loss_of_throttles_grants_no_more() -> None:
     clock = ManualClock()
     limiter = LIMITERS[DEFAULT](clock, BOUNDS)
     limiter.daemons = 10
@@ -247,14 +247,14 @@
     assert granted[30_000] / 200 == pytest.approx(0.3, abs=0.01)
 
 
-def test_a_refusal_tells_when_the_organisation_is_below_its_limit() -> None:
+def test_a_refusal_reports_when_the_organisation_is_below_its_limit() -> None:
     clock = ManualClock()
     limiter = LIMITERS[DEFAULT](clock, BOUNDS)
     limiter.apply_throttles([Throttle(NAME, ratio=0.0, asked=1e6, wait=1.7)])
     assert limiter.grant(NAME, QUOTA, 100) == 1.7
 
 
-def test_words_are_believed_for_a_while() -> None:
+def test_throttles_expire() -> None:
     clock = ManualClock()
     limiter = LIMITERS[DEFAULT](clock, BOUNDS)
     limiter.daemons = 1
@@ -263,7 +263,7 @@
     assert limiter.grant(NAME, QUOTA, 100) is None
 
 
-def test_what_did_not_run_is_given_back() -> None:
+def test_units_that_did_not_run_are_refunded() -> None:
     clock = ManualClock()
     limiter = LIMITERS[DEFAULT](clock, BOUNDS)
     limiter.apply_throttles([])
@@ -273,7 +273,7 @@
     assert limiter.pop_spendings() == []
 
 
-def test_spendings_of_long_ago_count_for_less() -> None:
+def test_old_spendings_count_for_less() -> None:
     counter = SpendingCounter()
     counter.take(100.0)
     counter.add([Spending(NAME, 800, 800)])
@@ -287,7 +287,7 @@
     assert bucket.acquire(1, rate=100.0, depth=100.0, now=51.0)
 
 
-def test_a_pace_is_the_mean_of_what_comes() -> None:
+def test_a_pace_is_the_mean_rate() -> None:
     pace = RateMeter(time_constant=0.5, at=0.0, started_at=0.0)
     for step in range(1, 200):
         pace.add(10.0, step * 0.01)
--- a/tests/test_unknown_signals.py
+++ b/tests/test_unknown_signals.py
@@ -7,14 +7,14 @@
 from kestreltally.platform.headers import list_unrecognised
 
 
-def test_a_header_of_the_family_that_nobody_reads_is_named() -> None:
+def test_an_unknown_server_header_is_listed() -> None:
     headers = CIMultiDict(
         [("Server-Mood", "low"), ("server-leaving", "1"), ("Server", "x"), ("A", "b")]
     )
     assert list_unrecognised(200, headers) == ["server-mood"]
 
 
-def test_a_status_without_a_meaning_is_named() -> None:
+def test_an_unknown_status_is_listed() -> None:
     named = {
         status: list_unrecognised(status, {}) for status in (200, 421, 503, 302, 600)
     }
@@ -27,7 +27,7 @@
     }
 
 
-def test_each_is_counted_and_written_once() -> None:
+def test_each_name_is_counted_and_logged_once() -> None:
     words = UnknownSignals()
     before = COUNTS[Decision.ENDPOINT_WORD_UNREAD]
     for _ in range(3):
@@ -36,7 +36,7 @@
     assert COUNTS[Decision.ENDPOINT_WORD_UNREAD] == before + 1
 
 
-def test_names_without_end_fill_no_memory() -> None:
+def test_the_number_of_names_is_bounded() -> None:
     words = UnknownSignals()
     words.record(f"server-{number}" for number in range(3 * MAX_NAMES))
     assert len(words.count()) == MAX_NAMES + 1
