--- a/src/kestreltally/fleet/model.py
+++ b/src/kestreltally/fleet/model.py
@@ -35,9 +35,9 @@
 
     ``priority`` 0 is the most urgent. ``objective`` is the target time to the first
     event of a stream, or to the complete answer. ``attempts`` limits how many endpoints
-    may run one request. Clients abandon a stream that sends nothing for ``client_wait_limit``,
-    also before its first event; 0 means that no such limit is known. Requests of a
-    ``public`` route need no key.
+    may run one request. Clients abandon a stream that sends nothing for
+    ``client_wait_limit``, also before its first event; 0 means that no such limit is
+    known. Requests of a ``public`` route need no key.
     """
 
     name: str
@@ -175,8 +175,8 @@
 
     An engine may be restarted under the same id. ``born`` is the start time in Unix
     milliseconds, 0 if unknown. ``weights`` maps the weights it holds to their versions,
-    and ``loading`` names the weights being loaded. ``quarantined`` means that its leader has
-    quarantined it for a while, because requests of many daemons failed there.
+    and ``loading`` names the weights being loaded. ``quarantined`` means that its
+    leader excludes it for a while, because requests of many daemons failed there.
     """
 
     id: EndpointId
@@ -194,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """What one answer says about its endpoint; ``backoff`` is the requested backoff or 0.
+    """What one answer says about its endpoint; ``backoff`` is 0 if not requested.
 
     ``limit`` is the number of requests per second that the endpoint accepts from all
     daemons together, None if it names no limit; ``malformed`` means that it names one
@@ -216,7 +216,7 @@
 class KnownNotice:
     """What one incarnation of an endpoint says about itself, as daemons report it.
 
-    ``backoff`` is the remaining backoff, requested from the reporting daemon. ``limit`` is
+    ``backoff`` is the remaining time, requested from the reporting daemon. ``limit`` is
     the current limit, of version ``limit_version``, which is 0 if no limit was ever
     named. ``turn_wait`` is how long a call waits for its credit, as leaders report it.
     """
--- a/src/kestreltally/fleet/notices.py
+++ b/src/kestreltally/fleet/notices.py
@@ -250,8 +250,8 @@
     def apply_to(self, endpoint: Endpoint) -> Endpoint:
         """Return an endpoint, marked as leaving if it has said so itself.
 
-        A row that is listed as leaving is remembered, because the entry may lack this
-        again once the store is restored from a backup.
+        An endpoint that is listed as leaving is remembered, because its entry may lack
+        this again after the store is restored from a backup.
         """
         row = self._get_row(endpoint)
         if row is not None and row.leaves:
--- a/src/kestreltally/poison/register.py
+++ b/src/kestreltally/poison/register.py
@@ -3,7 +3,7 @@
 A crash cuts off all requests at the endpoint, of which at most one is to blame. That
 one was present at several crashes, one after another, without a successful run in
 between, and no other request was present at all of these crashes and more. Crashes are
-called ``ends`` in the API, the store and the logs.
+called ``ends`` in the API and the logs.
 """
 
 import logging
@@ -121,7 +121,8 @@
     def _is_explained_by_other(self, suspect: Suspect, now: Seconds) -> bool:
         """Return whether a more likely suspect was present at all the same crashes.
 
-        That is a request at more crashes, or one that had fewer events answered.
+        That is a request at more crashes, or one whose attempts had less often started
+        to be answered.
         """
         lives = {each.life for each in suspect.list_valid(now)}
         own_score = suspect.score(now)
@@ -184,7 +185,7 @@
     # Updates.
 
     def record_local(self, facts: Iterable[Fact]) -> bool:
-        """Record facts observed by this daemon; return whether any was new."""
+        """Record facts observed by this daemon and report them if any is new."""
         added = [fact for fact in facts if self._add(fact)]
         self.fact_log.add_local(added)
         for fact in added:
--- a/src/kestreltally/quotas/limiters.py
+++ b/src/kestreltally/quotas/limiters.py
@@ -166,7 +166,7 @@
             share.isolated_since = self._received_at
             throttle = self._throttles.get(name)
             if throttle is not None and throttle.ratio < 1.0:
-                # A throttled organisation must not use what filled up in the meantime.
+                # Units that filled up meanwhile are not for a throttled organisation.
                 share.isolated_bucket.level = min(share.isolated_bucket.level, 1.0)
                 share.isolated_bucket.at = now
         granted = share.isolated_bucket.acquire(units, rate, ISOLATED_DEPTH * rate, now)
--- a/tests/poisonsim.py
+++ b/tests/poisonsim.py
@@ -50,8 +50,8 @@
 
     NONE = "none"
     SLOW = "each message a second late"
-    LEADER_LOST = "a leader is lost as the second end is told"
-    WITNESS_LOST = "who saw the second end is killed with it"
+    LEADER_LOST = "a leader fails as the second crash is reported"
+    WITNESS_LOST = "the witness of the second crash is killed with it"
     ONE_SEES_ALL = "one daemon gets all sends"
 
 
@@ -262,7 +262,7 @@
 
 def describe(played: list[Metrics]) -> str:
     return (
-        f"ends mean {mean(each.ends for each in played):.2f} "
+        f"crashes mean {mean(each.ends for each in played):.2f} "
         f"most {max(each.ends for each in played)}; "
         f"late sends most {max(each.late_sends for each in played)}; "
         f"others refused {sum(each.others_refused for each in played)} "
--- a/tests/quotasim.py
+++ b/tests/quotasim.py
@@ -36,6 +36,7 @@
 class Load:
     """The requests of an organisation, relative to its rate, and injected faults.
 
+    ``base`` is the normal load, ``hot`` the load from ``hot_from`` to ``hot_to``.
     ``skew`` is how unevenly requests are spread over daemons. ``cut_off`` is the
     fraction of daemons without contact to a leader from ``cut_at`` to ``healed_at``.
     """
@@ -65,9 +66,26 @@
     Load("hot, few daemons asked", hot=4.2, skew=2.0),
     Load("hot, small rate", rate=3_000.0, burst=3_000.0, hot=4.2),
     Load("just below", base=0.9, hot=0.95),
-    Load("hot, a third cut off", hot=4.2, cut_off=0.33, cut_at=5.0, healed_at=13.0),
-    Load("usual, nearly all cut off", cut_off=0.92, cut_at=5.0, healed_at=16.0),
-    Load("hot, nearly all cut off", hot=3.3, cut_off=0.92, cut_at=5.0, healed_at=16.0),
+    Load(
+        "hot, a third cut off",
+        hot=4.2,
+        cut_off=0.33,
+        cut_at=5.0,
+        healed_at=13.0,
+    ),
+    Load(
+        "usual, nearly all cut off",
+        cut_off=0.92,
+        cut_at=5.0,
+        healed_at=16.0,
+    ),
+    Load(
+        "hot, nearly all cut off",
+        hot=3.3,
+        cut_off=0.92,
+        cut_at=5.0,
+        healed_at=16.0,
+    ),
     Load("hot, a leader lost", hot=4.2, leader_lost_at=6.0),
     Load("hot, all restarted", hot=4.2, all_restart_at=7.0),
     Load("lowered to a tenth", base=0.9, hot=0.9, lowered_at=4.0, lowered_to=0.1),
