--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -61,8 +61,8 @@
 from kestreltally.peers.messages import Envelope, PeerMessage
 from kestreltally.requests.relay import Relay
 from kestreltally.settings import check_settings
+from kestreltally.systems.catalog import SYSTEMS
 from kestreltally.systems.configuration import list_changes_after
-from kestreltally.systems.everything import SYSTEMS
 from kestreltally.systems.holding import return_permits
 from kestreltally.systems.leadership import find_owner
 from kestreltally.systems.registry import run_step
--- a/src/kestreltally/callers/identity.py
+++ b/src/kestreltally/callers/identity.py
@@ -9,7 +9,7 @@
 from kestreltally.entities.configuration import ANY, Caller, Effect, Rule, WhenStale
 from kestreltally.orders import RefusalReason
 from kestreltally.requests.outcomes import Outcome, Refusal
-from kestreltally.systems.configuration import tell_unconfirmed
+from kestreltally.systems.configuration import get_unconfirmed_time
 from kestreltally.world import World
 
 BEARER: Final = "Bearer "
@@ -58,7 +58,7 @@
             message=f"{caller} may not use {adapter}: {why}",
         )
     strict = any(rule.when_stale is WhenStale.REFUSE for rule in rules)
-    if strict and tell_unconfirmed(world) > world.settings.stale_after:
+    if strict and get_unconfirmed_time(world) > world.settings.stale_after:
         return Refusal(
             reason=RefusalReason.STALE_CONFIGURATION,
             outcome=Outcome.NOT_RUN,
--- a/src/kestreltally/callers/surface.py
+++ b/src/kestreltally/callers/surface.py
@@ -25,7 +25,7 @@
 from kestreltally.requests.flow import RequestServer
 from kestreltally.requests.outcomes import STATUS_OF_REASON, Refusal
 from kestreltally.runtime import Runtime
-from kestreltally.systems.configuration import find_adapters
+from kestreltally.systems.configuration import list_adapters
 
 LOG = logging.getLogger("kestreltally.callers")
 HEADER_RETRY_AFTER: Final = "Retry-After"
@@ -191,7 +191,7 @@
         world = self._runtime.world
         allowed = [
             adapter
-            for adapter in find_adapters(world)
+            for adapter in list_adapters(world)
             if adapter.current and check_rules(world, caller.name, adapter.name) is None
         ]
         data = [
--- a/src/kestreltally/entities/permits.py
+++ b/src/kestreltally/entities/permits.py
@@ -65,7 +65,7 @@
     unsure: bool = False
     told_at: Seconds = NEVER
 
-    def has_room(self, now: Seconds) -> bool:
+    def has_free_capacity(self, now: Seconds) -> bool:
         """Tell whether a request may start under the permit."""
         return not self.returned and now < self.expires_at and self.running < self.count
 
--- a/src/kestreltally/operators/surface.py
+++ b/src/kestreltally/operators/surface.py
@@ -10,9 +10,9 @@
 from kestreltally.metrics import Metrics
 from kestreltally.requests.flow import RequestServer
 from kestreltally.runtime import Runtime
-from kestreltally.systems.configuration import is_watcher, tell_unconfirmed
+from kestreltally.systems.configuration import get_unconfirmed_time, is_watcher
 from kestreltally.systems.granting import count_asks, count_occupied
-from kestreltally.systems.leadership import may_act
+from kestreltally.systems.leadership import can_act
 from kestreltally.timeline.events import MATCHED_FIELDS, EventFilter
 from kestreltally.world import World
 
@@ -54,7 +54,7 @@
             "endpoint": led.endpoint,
             "epoch": led.record.epoch,
             "phase": led.phase.value,
-            "acts": may_act(world, led),
+            "acts": can_act(world, led),
             "occupied": count_occupied(world, led.endpoint),
             "queued": count_asks(world, led.endpoint),
             "slots_used": len(led.slots),
@@ -145,7 +145,7 @@
         {
             "data_centre": world.identity.data_centre,
             "revision": world.config.revision,
-            "confirmed_ago": round(min(tell_unconfirmed(world), 1e6), 3),
+            "confirmed_ago": round(min(get_unconfirmed_time(world), 1e6), 3),
             "watches": is_watcher(world),
             "leads": len(world.leaders.led),
             "suspended": sum(
--- a/src/kestreltally/runtime.py
+++ b/src/kestreltally/runtime.py
@@ -48,7 +48,7 @@
     ServiceClient,
     VmList,
 )
-from kestreltally.systems.everything import SYSTEMS
+from kestreltally.systems.catalog import SYSTEMS
 from kestreltally.systems.registry import run_step
 from kestreltally.world import World
 
--- a/src/kestreltally/systems/availability.py
+++ b/src/kestreltally/systems/availability.py
@@ -19,15 +19,15 @@
 from kestreltally.systems.granting import LEAVING
 from kestreltally.systems.leadership import find_leader
 from kestreltally.systems.membership import is_listed_leaving
-from kestreltally.systems.registry import handles
+from kestreltally.systems.registry import handles_event
 from kestreltally.world import World
 
 PART: Final = "entry"
 SERVICE_TIME_WEIGHT: Final = 0.1
-LEAVING_FOR: Final[Seconds] = 5.0
+LEAVING_DURATION: Final[Seconds] = 5.0
 
 
-def is_open_for_work(world: World, endpoint: EndpointId) -> bool:
+def is_available(world: World, endpoint: EndpointId) -> bool:
     """Tell whether an endpoint may get new work, by all that is known here."""
     spec = world.config.endpoints.get(endpoint)
     if spec is None or spec.draining:
@@ -42,7 +42,7 @@
     return world.now >= breaker.open_until and not breaker.probing
 
 
-def note_probe(world: World, endpoint: EndpointId) -> None:
+def start_probe(world: World, endpoint: EndpointId) -> None:
     """Let one request alone try an endpoint whose breaker has just half opened."""
     breaker = world.entry.breakers.get(endpoint)
     if breaker is None:
@@ -62,17 +62,19 @@
         world.entry.breakers[endpoint] = replace(breaker, probing=False)
 
 
-@handles(EndpointServed)
-def note_success(world: World, served: EndpointServed) -> None:
+@handles_event(EndpointServed)
+def record_success(world: World, served: EndpointServed) -> None:
     """Close the breaker of an endpoint that served well."""
     world.entry.breakers.pop(served.endpoint, None)
     led = world.leaders.led.get(served.endpoint)
     if led is not None:
-        took = led.service_time + SERVICE_TIME_WEIGHT * (served.took - led.service_time)
-        world.update_led(led, service_time=took)
+        service_time = led.service_time + SERVICE_TIME_WEIGHT * (
+            served.took - led.service_time
+        )
+        world.update_led(led, service_time=service_time)
 
 
-def _give_up_permits(world: World, failed: EndpointFailed) -> None:
+def _retire_permits(world: World, failed: EndpointFailed) -> None:
     """Use no permit again that the endpoint has just shown to be worthless."""
     for held in list(world.entry.held.values()):
         same = held.endpoint == failed.endpoint and held.adapter == failed.adapter
@@ -84,7 +86,7 @@
         world.entry.views[failed.endpoint] = replace(view, loaded=loaded)
 
 
-@handles(EndpointFailed)
+@handles_event(EndpointFailed)
 def record_failure(world: World, failed: EndpointFailed) -> None:
     """Count a failure for the breaker, and tell the leader what was seen."""
     limits = world.settings.limits
@@ -102,9 +104,9 @@
                 endpoint=failed.endpoint,
                 reason=failed.fault,
             )
-    _give_up_permits(world, failed)
+    _retire_permits(world, failed)
     if failed.fault == LEAVING:
-        world.entry.leaving[failed.endpoint] = world.now + LEAVING_FOR
+        world.entry.leaving[failed.endpoint] = world.now + LEAVING_DURATION
     leader = find_leader(world, failed.endpoint)
     if leader is not None:
         fault = EndpointFault(
--- a/src/kestreltally/systems/budget.py
+++ b/src/kestreltally/systems/budget.py
@@ -12,12 +12,12 @@
 from kestreltally.peers.messages import AskLoad, EndLoad, GrantLoad
 from kestreltally.systems.hashing import choose_owner
 from kestreltally.systems.membership import list_eligible
-from kestreltally.systems.registry import hears, runs_each_tick
+from kestreltally.systems.registry import handles_message, runs_each_tick
 from kestreltally.world import World
 
 BUDGET_DUTY: Final = "load-budget"
-ASK_LIFE: Final[Seconds] = 3.0
-GRANT_LIFE: Final[Seconds] = 20.0
+ASK_TTL: Final[Seconds] = 3.0
+GRANT_TTL: Final[Seconds] = 20.0
 
 
 def find_budget_leader(world: World) -> VmId | None:
@@ -26,8 +26,8 @@
     return VmId(owner) if owner is not None else None
 
 
-@hears(AskLoad)
-def take_load_ask(world: World, sender: VmId, asked: AskLoad) -> None:
+@handles_message(AskLoad)
+def receive_load_ask(world: World, sender: VmId, asked: AskLoad) -> None:
     """Queue a load; one that was granted is told so again."""
     known = world.budget.asks.get(asked.load)
     if known is not None and known.granted_at is not None:
@@ -41,17 +41,17 @@
     )
 
 
-@hears(EndLoad)
+@handles_message(EndLoad)
 def end_load(world: World, sender: VmId, ended: EndLoad) -> None:
     """Free the place of a load that is over."""
     world.budget.asks.pop(ended.load, None)
 
 
-def _fill_tokens(world: World) -> None:
+def _refill_tokens(world: World) -> None:
     placement = world.settings.placement
     gained = (world.now - world.budget.filled_at) * placement.loads_per_second
-    most = max(1.0, float(placement.loads_at_once))
-    world.budget.tokens = min(most, world.budget.tokens + gained)
+    capacity = max(1.0, float(placement.loads_at_once))
+    world.budget.tokens = min(capacity, world.budget.tokens + gained)
     world.budget.filled_at = world.now
 
 
@@ -60,8 +60,8 @@
     """Give leave within rate and parallelism, most urgent first."""
     if not world.budget.asks:
         return
-    _fill_tokens(world)
-    _forget_lost(world)
+    _refill_tokens(world)
+    _prune_stale(world)
     asks = world.budget.asks
     running = sum(1 for ask in asks.values() if ask.granted_at is not None)
     waiting = [ask for ask in asks.values() if ask.granted_at is None]
@@ -76,10 +76,10 @@
         world.send(ask.holder, GrantLoad(load=ask.load))
 
 
-def _forget_lost(world: World) -> None:
+def _prune_stale(world: World) -> None:
     for ask in list(world.budget.asks.values()):
         if ask.granted_at is not None:
-            if world.now - ask.granted_at > GRANT_LIFE:
+            if world.now - ask.granted_at > GRANT_TTL:
                 del world.budget.asks[ask.load]
-        elif world.now - ask.refreshed_at > ASK_LIFE:
+        elif world.now - ask.refreshed_at > ASK_TTL:
             del world.budget.asks[ask.load]
--- a/src/kestreltally/systems/configuration.py
+++ b/src/kestreltally/systems/configuration.py
@@ -26,13 +26,18 @@
 from kestreltally.orders import ConfigArrived
 from kestreltally.peers.messages import Change, PullChanges, PushChanges
 from kestreltally.systems.hashing import rank_owners
-from kestreltally.systems.registry import handles, handles_pause, hears, runs_each_tick
+from kestreltally.systems.registry import (
+    handles_event,
+    handles_message,
+    handles_pause,
+    runs_each_tick,
+)
 from kestreltally.world import ConfigTable, World
 
 PART: Final = "configuration"
-PULL_AGAIN_AFTER: Final[Seconds] = 0.5
-WATCH_ALONE_AFTER: Final[Seconds] = 10.0
-LONGEST_UNCONFIRMED: Final[Seconds] = 1e9
+PULL_RETRY_INTERVAL: Final[Seconds] = 0.5
+SELF_WATCH_DELAY: Final[Seconds] = 10.0
+MAX_UNCONFIRMED: Final[Seconds] = 1e9
 WATCH_DUTY: Final = "configuration-watch"
 
 REVISION_NEVER_REVERTS = declare_invariant(
@@ -42,9 +47,9 @@
 )
 
 
-def tell_unconfirmed(world: World) -> Seconds:
+def get_unconfirmed_time(world: World) -> Seconds:
     """Return for how many seconds the revision has not been confirmed."""
-    return min(world.now - world.config.confirmed_at, LONGEST_UNCONFIRMED)
+    return min(world.now - world.config.confirmed_at, MAX_UNCONFIRMED)
 
 
 def is_watcher(world: World) -> bool:
@@ -52,19 +57,19 @@
 
     A daemon that hears nothing fresh from others watches for itself.
     """
-    if tell_unconfirmed(world) > WATCH_ALONE_AFTER:
+    if get_unconfirmed_time(world) > SELF_WATCH_DELAY:
         return True
-    near = [world.identity.vm] + [
+    local_vms = [world.identity.vm] + [
         member.vm
         for member in world.members.known.values()
         if member.data_centre == world.identity.data_centre
         and member.state is not MemberState.DEAD
     ]
-    ranked = rank_owners(WATCH_DUTY, near)
+    ranked = rank_owners(WATCH_DUTY, local_vms)
     return world.identity.vm in ranked[: world.settings.config_watchers]
 
 
-def _index(table: ConfigTable, key: str, before: ConfigObject | None) -> None:
+def _index_object(table: ConfigTable, key: str, before: ConfigObject | None) -> None:
     """Bring the indexes up to date with the object under ``key``."""
     if before is not None:
         _drop_from_indexes(table, before)
@@ -90,8 +95,8 @@
         table.endpoints_of_model[value.model].pop(EndpointId(value.name), None)
     elif isinstance(value, Caller):
         for digest in value.key_digests:
-            held = table.callers_of_digest.get(digest)
-            if held is not None and held.name == value.name:
+            indexed = table.callers_of_digest.get(digest)
+            if indexed is not None and indexed.name == value.name:
                 del table.callers_of_digest[digest]
     elif isinstance(value, Adapter):
         for endpoint in value.pinned_to:
@@ -107,11 +112,11 @@
     if before is not None and changed.revision <= before.revision:
         return
     table.objects[key] = changed
-    _index(table, key, before)
-    _remember_change(table, changed)
+    _index_object(table, key, before)
+    _append_change(table, changed)
 
 
-def _remember_change(table: ConfigTable, changed: ConfigObject) -> None:
+def _append_change(table: ConfigTable, changed: ConfigObject) -> None:
     if len(table.recent) == table.recent.maxlen:
         table.recent_after = table.recent[0].revision
     table.recent.append(changed)
@@ -145,20 +150,20 @@
     return table.revision > before
 
 
-@handles(ConfigArrived)
-def take_changes(world: World, arrived: ConfigArrived) -> None:
+@handles_event(ConfigArrived)
+def apply_arrived_changes(world: World, arrived: ConfigArrived) -> None:
     """Take in what the watch brought, and push it to the data centre."""
     before = world.config.revision
     if not apply_changes(world, arrived):
         return
     changes = list_changes_after(world, before)
     for member in world.members.known.values():
-        near = member.data_centre == world.identity.data_centre
-        if near and member.state is not MemberState.DEAD:
+        same_data_centre = member.data_centre == world.identity.data_centre
+        if same_data_centre and member.state is not MemberState.DEAD:
             world.send(member.vm, changes)
 
 
-def _write_change(changed: ConfigObject) -> Change:
+def _encode_change(changed: ConfigObject) -> Change:
     return Change(
         key=key_of(changed.kind, changed.name),
         revision=changed.revision,
@@ -179,13 +184,13 @@
         after=0 if whole else after,
         revision=table.revision,
         whole=whole,
-        unconfirmed_for=tell_unconfirmed(world),
-        changes=[_write_change(each) for each in source],
+        unconfirmed_for=get_unconfirmed_time(world),
+        changes=[_encode_change(each) for each in source],
     )
 
 
-@hears(PushChanges)
-def hear_changes(world: World, sender: VmId, pushed: PushChanges) -> None:
+@handles_message(PushChanges)
+def receive_changes(world: World, sender: VmId, pushed: PushChanges) -> None:
     """Take in what a peer pushed; pull when something before it is missing."""
     objects = []
     for change in pushed.changes:
@@ -202,17 +207,17 @@
         confirmed_at=world.now - pushed.unconfirmed_for,
     )
     apply_changes(world, arrived)
-    note_peer_revision(world, sender, pushed.revision, pushed.unconfirmed_for)
+    record_peer_revision(world, sender, pushed.revision, pushed.unconfirmed_for)
 
 
-@hears(PullChanges)
+@handles_message(PullChanges)
 def answer_pull(world: World, sender: VmId, pull: PullChanges) -> None:
     """Send a peer what it misses."""
     if world.config.revision > pull.after:
         world.send(sender, list_changes_after(world, pull.after))
 
 
-def note_peer_revision(
+def record_peer_revision(
     world: World,
     peer: VmId,
     revision: Revision,
@@ -230,7 +235,7 @@
 def pull_missing(world: World) -> None:
     """Pull from the peer that was heard to know more."""
     table = world.config
-    if table.pull_from is None or world.now - table.pulled_at < PULL_AGAIN_AFTER:
+    if table.pull_from is None or world.now - table.pulled_at < PULL_RETRY_INTERVAL:
         return
     world.send(table.pull_from, PullChanges(after=table.revision))
     table.pulled_at = world.now
@@ -238,12 +243,12 @@
 
 
 @handles_pause
-def doubt_freshness(world: World, paused_for: Seconds) -> None:
+def reset_confirmation(world: World, paused_for: Seconds) -> None:
     """After a pause nothing confirms the revision until it is heard again."""
     world.config.confirmed_at = min(world.config.confirmed_at, world.now - paused_for)
 
 
-def find_adapters(world: World) -> list[Adapter]:
+def list_adapters(world: World) -> list[Adapter]:
     """Return all adapters in force."""
     values = (each.value for each in world.config.objects.values())
     return [value for value in values if isinstance(value, Adapter)]
--- a/src/kestreltally/systems/demand.py
+++ b/src/kestreltally/systems/demand.py
@@ -5,8 +5,8 @@
 from kestreltally.entities.ids import AdapterVersion, EndpointId, Seconds
 from kestreltally.world import World
 
-MOST_KEPT: Final = 4_096
-KEPT_AFTER_TRIM: Final = 3_072
+MAX_ENTRIES: Final = 4_096
+ENTRIES_AFTER_TRIM: Final = 3_072
 
 
 def _decay(value: float, age: Seconds, half_life: Seconds) -> float:
@@ -22,11 +22,11 @@
     return _decay(value, world.now - at, world.settings.placement.demand_half_life)
 
 
-def note_demand(world: World, endpoint: EndpointId, adapter: AdapterVersion) -> None:
+def record_demand(world: World, endpoint: EndpointId, adapter: AdapterVersion) -> None:
     """Count one ask; forget the least asked for when the table is full."""
     value = measure_demand(world, endpoint, adapter) + 1.0
     world.book.demand[(endpoint, adapter)] = (value, world.now)
-    if len(world.book.demand) > MOST_KEPT:
+    if len(world.book.demand) > MAX_ENTRIES:
         _trim(world)
 
 
@@ -36,5 +36,5 @@
         key=lambda key: measure_demand(world, *key),
         reverse=True,
     )
-    for key in ranked[KEPT_AFTER_TRIM:]:
+    for key in ranked[ENTRIES_AFTER_TRIM:]:
         del world.book.demand[key]
--- a/src/kestreltally/systems/granting.py
+++ b/src/kestreltally/systems/granting.py
@@ -33,23 +33,23 @@
     View,
     WithdrawAsk,
 )
-from kestreltally.systems.demand import note_demand
-from kestreltally.systems.leadership import find_leader, mark_unsure, may_act
+from kestreltally.systems.demand import record_demand
+from kestreltally.systems.leadership import can_act, find_leader, mark_unsure
 from kestreltally.systems.membership import is_listed_leaving, is_reachable
-from kestreltally.systems.registry import hears, runs_each_tick
+from kestreltally.systems.registry import handles_message, runs_each_tick
 from kestreltally.world import World
 
 PART: Final = "permits"
-LOST_ASK_AFTER_REFRESHES: Final = 4
+MAX_MISSED_REFRESHES: Final = 4
 NOT_LEADER: Final = "not_leader"
 LEAVING: Final = "leaving"
 QUEUE_FULL: Final = "queue_full"
-SPARE_SHARE: Final = 4
-MOST_SPARE: Final = 2
+FREE_PLACES_PER_EXTRA: Final = 4
+MAX_EXTRA_PLACES: Final = 2
 FAULT_WRONG_VERSION: Final = "wrong_version"
 FAULT_NOT_LOADED: Final = "not_loaded"
-WAIT_FOR_LEAVING: Final[Seconds] = 1.0
-VIEW_AGAIN_AFTER: Final[Seconds] = 0.5
+LEAVING_RETRY_DELAY: Final[Seconds] = 1.0
+VIEW_RESEND_INTERVAL: Final[Seconds] = 0.5
 
 GRANT_ONLY_AS_LEADER = declare_invariant(
     "grant-only-as-confirmed-leader",
@@ -115,9 +115,9 @@
         and (other.priority, other.arrived_at) < (ask.priority, ask.arrived_at)
     )
     over = max(0, ahead + 1 + count_occupied(world, led.endpoint) - spec.batch_limit)
-    turn = over * led.service_time / spec.batch_limit
+    batch_wait = over * led.service_time / spec.batch_limit
     if is_usable(led, ask.adapter):
-        return turn
+        return batch_wait
     loads_ahead = len(
         {
             other.adapter
@@ -127,7 +127,7 @@
             and (other.priority, other.arrived_at) <= (ask.priority, ask.arrived_at)
         }
     )
-    return turn + loads_ahead * world.book.load_time
+    return batch_wait + loads_ahead * world.book.load_time
 
 
 def _refuse(
@@ -147,8 +147,8 @@
     world.send(to, refusal)
 
 
-@hears(AskPermit)
-def take_ask(world: World, sender: VmId, asked: AskPermit) -> None:
+@handles_message(AskPermit)
+def receive_ask(world: World, sender: VmId, asked: AskPermit) -> None:
     """Queue an ask, or refuse it at once; an ask that comes again is refreshed."""
     endpoint = EndpointId(asked.endpoint)
     led = world.leaders.led.get(endpoint)
@@ -161,7 +161,7 @@
         _refuse(world, sender, asked, NOT_LEADER, world.settings.timing.tick)
         return
     if is_endpoint_leaving(world, spec):
-        _refuse(world, sender, asked, LEAVING, WAIT_FOR_LEAVING)
+        _refuse(world, sender, asked, LEAVING, LEAVING_RETRY_DELAY)
         return
     granted = world.book.permits.get(PermitId(asked.ask))
     if granted is not None:
@@ -177,9 +177,9 @@
         return
     else:
         known = _make_ask(world, sender, asked)
-        note_demand(world, endpoint, known.adapter)
+        record_demand(world, endpoint, known.adapter)
     world.book.asks[known.ask] = known
-    if not is_usable(led, known.adapter) or _has_no_room(world, led):
+    if not is_usable(led, known.adapter) or _is_full(world, led):
         queued = AskQueued(
             ask=known.ask,
             endpoint=endpoint,
@@ -203,29 +203,29 @@
     )
 
 
-def _has_no_room(world: World, led: LedEndpoint) -> bool:
-    return count_free(world, led) <= 0
+def _is_full(world: World, led: LedEndpoint) -> bool:
+    return get_free_capacity(world, led) <= 0
 
 
-def count_free(world: World, led: LedEndpoint) -> int:
+def get_free_capacity(world: World, led: LedEndpoint) -> int:
     """Return how many more requests may be granted at an endpoint."""
     spec = world.config.endpoints[led.endpoint]
     places = int(spec.batch_limit * world.settings.placement.batch_fill)
     return places - count_occupied(world, led.endpoint)
 
 
-@hears(WithdrawAsk)
-def drop_ask(world: World, sender: VmId, withdrawn: WithdrawAsk) -> None:
+@handles_message(WithdrawAsk)
+def remove_ask(world: World, sender: VmId, withdrawn: WithdrawAsk) -> None:
     """Forget an ask that is no longer wanted."""
     world.book.asks.pop(AskId(withdrawn.ask), None)
 
 
 @runs_each_tick(60)
-def drop_lost_asks(world: World) -> None:
+def prune_stale_asks(world: World) -> None:
     """Forget asks that their entry daemon no longer refreshes."""
-    life = world.settings.timing.ask_refresh * LOST_ASK_AFTER_REFRESHES
+    timeout = world.settings.timing.ask_refresh * MAX_MISSED_REFRESHES
     for ask in list(world.book.asks.values()):
-        if world.now - ask.refreshed_at > life or world.now >= ask.deadline_at:
+        if world.now - ask.refreshed_at > timeout or world.now >= ask.deadline_at:
             del world.book.asks[ask.ask]
 
 
@@ -253,21 +253,21 @@
             mark_unsure(world, led, permit.adapter)
 
 
-def _order_asks(world: World, endpoint: EndpointId) -> list[Ask]:
+def _sort_asks(world: World, endpoint: EndpointId) -> list[Ask]:
     """Return the asks in the order in which they are served.
 
     Within a priority the adapter with the least running goes first, so that one
     adapter cannot starve the others; then the longest wait.
     """
-    taken: Counter[AdapterVersion] = Counter()
+    in_use: Counter[AdapterVersion] = Counter()
     for permit in world.permits_of(endpoint):
-        taken[permit.adapter] += permit.occupies()
+        in_use[permit.adapter] += permit.occupies()
     asks = [ask for ask in world.book.asks.values() if ask.endpoint == endpoint]
     asks.sort(key=lambda ask: (ask.arrived_at, ask.ask))
     ranked = []
     for ask in asks:
-        ranked.append(((ask.priority, taken[ask.adapter], ask.arrived_at), ask))
-        taken[ask.adapter] += 1
+        ranked.append(((ask.priority, in_use[ask.adapter], ask.arrived_at), ask))
+        in_use[ask.adapter] += 1
     ranked.sort(key=lambda entry: entry[0])
     return [ask for _, ask in ranked]
 
@@ -278,13 +278,13 @@
     waiting = {ask.endpoint for ask in world.book.asks.values()}
     for endpoint in sorted(waiting):
         led = world.leaders.led.get(endpoint)
-        if led is None or not may_act(world, led):
+        if led is None or not can_act(world, led):
             continue
         if is_endpoint_leaving(world, world.config.endpoints[endpoint]):
             _refuse_all(world, endpoint)
             continue
-        free = count_free(world, led)
-        for ask in _order_asks(world, endpoint):
+        free = get_free_capacity(world, led)
+        for ask in _sort_asks(world, endpoint):
             if free <= 0:
                 break
             if is_usable(led, ask.adapter):
@@ -300,7 +300,7 @@
             ask=ask.ask,
             endpoint=endpoint,
             reason=LEAVING,
-            retry_after=WAIT_FOR_LEAVING,
+            retry_after=LEAVING_RETRY_DELAY,
             leader="",
         )
         world.send(ask.holder, refusal)
@@ -311,7 +311,7 @@
     spec = world.config.endpoints[led.endpoint]
     world.invariants.require(
         GRANT_ONLY_AS_LEADER,
-        may_act(world, led),
+        can_act(world, led),
         f"{led.endpoint} is {led.phase.value}",
     )
     world.invariants.require(
@@ -325,14 +325,16 @@
         led.endpoint,
     )
     others_wait = len(world.book.asks) > 1
-    spare = 0 if others_wait else min(MOST_SPARE, (free - 1) // SPARE_SHARE)
+    extra = (
+        0 if others_wait else min(MAX_EXTRA_PLACES, (free - 1) // FREE_PLACES_PER_EXTRA)
+    )
     timing = world.settings.timing
     permit = GrantedPermit(
         permit=PermitId(ask.ask),
         endpoint=led.endpoint,
         adapter=ask.adapter,
         holder=ask.holder,
-        count=1 + spare,
+        count=1 + extra,
         expires_at=world.now + timing.permit_life + timing.permit_margin,
         turn=ask.turn,
     )
@@ -370,22 +372,22 @@
         count=permit.count,
         life=world.settings.timing.permit_life,
         turn=permit.turn,
-        views=_pick_views(world, led, permit.holder),
+        views=_choose_views(world, led, permit.holder),
     )
     world.send(permit.holder, grant)
 
 
-def _pick_views(world: World, led: LedEndpoint, holder: VmId) -> list[View]:
+def _choose_views(world: World, led: LedEndpoint, holder: VmId) -> list[View]:
     """Return the endpoint's view, unless the holder was told it just now."""
     key = (holder, led.endpoint)
-    if world.now - world.book.views_reported.get(key, NEVER) < VIEW_AGAIN_AFTER:
+    if world.now - world.book.views_reported.get(key, NEVER) < VIEW_RESEND_INTERVAL:
         return []
     world.book.views_reported[key] = world.now
     return [describe_view(world, led)]
 
 
-@hears(ReturnPermit)
-def take_return(world: World, sender: VmId, returned: ReturnPermit) -> None:
+@handles_message(ReturnPermit)
+def receive_return(world: World, sender: VmId, returned: ReturnPermit) -> None:
     """Note what the holder of a permit still runs; close it at nothing.
 
     A leader that is handing over leaves the answer to the next one.
@@ -410,8 +412,8 @@
     )
 
 
-@hears(EndpointFault)
-def take_fault(world: World, sender: VmId, fault: EndpointFault) -> None:
+@handles_message(EndpointFault)
+def receive_fault(world: World, sender: VmId, fault: EndpointFault) -> None:
     """Look again at an endpoint that an entry daemon saw fail."""
     led = world.leaders.led.get(EndpointId(fault.endpoint))
     if led is None:
@@ -423,7 +425,7 @@
     if fault.fault == FAULT_WRONG_VERSION:
         _close_wrong_slot(world, world.leaders.led[led.endpoint], adapter)
     elif fault.fault == FAULT_NOT_LOADED:
-        _forget_slot(world, world.leaders.led[led.endpoint], adapter)
+        _remove_slot(world, world.leaders.led[led.endpoint], adapter)
 
 
 def _close_wrong_slot(world: World, led: LedEndpoint, adapter: AdapterVersion) -> None:
@@ -437,7 +439,7 @@
     )
 
 
-def _forget_slot(world: World, led: LedEndpoint, adapter: AdapterVersion) -> None:
+def _remove_slot(world: World, led: LedEndpoint, adapter: AdapterVersion) -> None:
     """Believe an endpoint that says it does not hold an adapter."""
     world.drop_slot(led, adapter)
     world.events.add(
--- a/src/kestreltally/systems/holding.py
+++ b/src/kestreltally/systems/holding.py
@@ -38,26 +38,26 @@
 )
 from kestreltally.policies.registry import CHOOSERS, Candidate
 from kestreltally.systems.availability import (
-    LEAVING_FOR,
+    LEAVING_DURATION,
     end_probe,
-    is_open_for_work,
-    note_probe,
+    is_available,
+    start_probe,
 )
 from kestreltally.systems.granting import LEAVING, NOT_LEADER
 from kestreltally.systems.hashing import rank_owners
 from kestreltally.systems.leadership import find_leader
 from kestreltally.systems.membership import is_reachable
-from kestreltally.systems.registry import handles, hears, runs_each_tick
+from kestreltally.systems.registry import handles_event, handles_message, runs_each_tick
 from kestreltally.world import World
 
 PART: Final = "entry"
-MIN_SILENCE: Final[Seconds] = 1.0
-SILENT_AFTER_REFRESHES: Final = 2
-FORGET_RETURNED_AFTER: Final[Seconds] = 30.0
-TELL_AGAIN_AFTER: Final[Seconds] = 1.0
-COME_BACK_AFTER: Final[Seconds] = 1.0
-VIEW_LIFE: Final[Seconds] = 10.0
-MOST_HINTS: Final = 2
+SILENT_LEADER_BACKOFF: Final[Seconds] = 1.0
+MAX_UNANSWERED_REFRESHES: Final = 2
+RETURNED_RETENTION: Final[Seconds] = 30.0
+RETURN_RETRY_INTERVAL: Final[Seconds] = 1.0
+REFUSAL_RETRY_DELAY: Final[Seconds] = 1.0
+VIEW_TTL: Final[Seconds] = 10.0
+MAX_HINTS: Final = 2
 
 USE_ONLY_VALID_PERMITS = declare_invariant(
     "use-only-valid-permits",
@@ -66,13 +66,13 @@
 )
 
 
-@handles(WantAdded)
+@handles_event(WantAdded)
 def add_want(world: World, added: WantAdded) -> None:
     """Take in a request that waits."""
     world.entry.wants[added.want.want] = added.want
 
 
-@handles(WantDropped)
+@handles_event(WantDropped)
 def drop_want(world: World, dropped: WantDropped) -> None:
     """Forget a request that no longer waits."""
     want = world.entry.wants.pop(dropped.want, None)
@@ -95,10 +95,10 @@
     for rank, name in enumerate(ranked):
         endpoint = EndpointId(name)
         silent = world.now < world.entry.silent_until.get(endpoint, NEVER)
-        if endpoint in want.avoid or silent or not is_open_for_work(world, endpoint):
+        if endpoint in want.avoid or silent or not is_available(world, endpoint):
             continue
         spec = world.config.endpoints[endpoint]
-        view = _fresh_view(world, endpoint)
+        view = _get_fresh_view(world, endpoint)
         candidates.append(
             Candidate(
                 endpoint=endpoint,
@@ -113,9 +113,9 @@
     return candidates
 
 
-def _fresh_view(world: World, endpoint: EndpointId) -> EndpointView:
+def _get_fresh_view(world: World, endpoint: EndpointId) -> EndpointView:
     view = world.entry.views.get(endpoint)
-    if view is None or world.now - view.heard_at > VIEW_LIFE:
+    if view is None or world.now - view.heard_at > VIEW_TTL:
         return EndpointView(
             endpoint=endpoint,
             loaded=frozenset(),
@@ -126,7 +126,7 @@
     return view
 
 
-def _order_wants(world: World) -> list[Want]:
+def _sort_wants(world: World) -> list[Want]:
     """Return the waiting requests: by priority, then the longest wait."""
     return sorted(
         world.entry.wants.values(),
@@ -137,20 +137,24 @@
 @runs_each_tick(50, on_wake=True)
 def serve_wants(world: World) -> None:
     """Give waiting requests a held permit, ask for one, or refuse them."""
-    for want in _order_wants(world):
+    for want in _sort_wants(world):
         if world.now >= want.deadline_at:
-            _refuse_want(world, want, RefusalReason.DEADLINE, COME_BACK_AFTER)
+            _refuse_want(world, want, RefusalReason.DEADLINE, REFUSAL_RETRY_DELAY)
         elif not _use_held(world, want):
-            _keep_asking(world, want)
+            _continue_asking(world, want)
 
 
 def _use_held(world: World, want: Want) -> bool:
     """Start a request under a permit that is held already, if there is room."""
     for held in world.entry.held.values():
-        fits = held.adapter == want.adapter and held.endpoint in want.candidates
-        if not fits or held.endpoint in want.avoid or not held.has_room(world.now):
+        matches = held.adapter == want.adapter and held.endpoint in want.candidates
+        if (
+            not matches
+            or held.endpoint in want.avoid
+            or not held.has_free_capacity(world.now)
+        ):
             continue
-        if is_open_for_work(world, held.endpoint):
+        if is_available(world, held.endpoint):
             _withdraw(world, want)
             _grant_want(world, want, held)
             return True
@@ -160,13 +164,13 @@
 def _grant_want(world: World, want: Want, held: HeldPermit) -> None:
     world.invariants.require(
         USE_ONLY_VALID_PERMITS,
-        held.has_room(world.now) and held.adapter == want.adapter,
+        held.has_free_capacity(world.now) and held.adapter == want.adapter,
         f"{held.permit} for {want.request}",
     )
     used = replace(held, running=held.running + 1)
     world.entry.held[held.permit] = used
     del world.entry.wants[want.want]
-    note_probe(world, held.endpoint)
+    start_probe(world, held.endpoint)
     world.entry.answers.append(WantGranted(want=want.want, permit=used))
 
 
@@ -182,19 +186,19 @@
     world.entry.answers.append(refused)
 
 
-def _keep_asking(world: World, want: Want) -> None:
+def _continue_asking(world: World, want: Want) -> None:
     timing = world.settings.timing
     if want.ask is None or want.endpoint is None:
         _ask_next(world, want)
         return
-    if not is_open_for_work(world, want.endpoint):
+    if not is_available(world, want.endpoint):
         _withdraw(world, want)
         _ask_next(world, _clear_ask(want))
         return
     first_sent = want.sent_at[0] if want.sent_at else want.since
     silence = world.now - max(first_sent, want.heard_at)
-    if silence > timing.ask_refresh * SILENT_AFTER_REFRESHES:
-        world.entry.silent_until[want.endpoint] = world.now + MIN_SILENCE
+    if silence > timing.ask_refresh * MAX_UNANSWERED_REFRESHES:
+        world.entry.silent_until[want.endpoint] = world.now + SILENT_LEADER_BACKOFF
         world.entry.hints.pop(want.endpoint, None)
         _withdraw(world, want)
         _ask_next(world, replace(_clear_ask(want), last_reason="leader silent"))
@@ -211,16 +215,16 @@
     candidates = _make_candidates(world, want)
     if not candidates:
         world.entry.wants[want.want] = want
-        _give_up_if_hopeless(world, want)
+        _refuse_if_unservable(world, want)
         return
     choose = CHOOSERS[world.settings.placement.policy]
     chosen = choose(candidates, world.settings.placement.homes, world.random)
     world.entry.ask_sequence += 1
-    own = world.identity
+    identity = world.identity
     want = replace(
         want,
         endpoint=chosen.endpoint,
-        ask=AskId(f"{want.request}/{own.tag}{world.entry.ask_sequence:x}"),
+        ask=AskId(f"{want.request}/{identity.tag}{world.entry.ask_sequence:x}"),
         sent_at=(),
         hints_followed=0,
         heard_at=NEVER,
@@ -231,23 +235,23 @@
         request=want.request,
         endpoint=chosen.endpoint,
         adapter=str(want.adapter),
-        reason=_explain_choice(chosen),
+        reason=_describe_choice(chosen),
     )
     _send_ask(world, want)
 
 
-def _explain_choice(chosen: Candidate) -> str:
+def _describe_choice(chosen: Candidate) -> str:
     loaded = "holds the adapter" if chosen.loaded else "would have to load it"
     return f"{loaded}, rank {chosen.rank}, {chosen.occupied} running"
 
 
-def _give_up_if_hopeless(world: World, want: Want) -> None:
+def _refuse_if_unservable(world: World, want: Want) -> None:
     """Refuse at once what no endpoint can take before the patience is over."""
-    open_now = [each for each in want.candidates if is_open_for_work(world, each)]
+    available = [each for each in want.candidates if is_available(world, each)]
     avoided = all(each in want.avoid for each in want.candidates)
-    too_long = world.now - want.since > world.settings.timing.patience
-    if not open_now or avoided or too_long:
-        _refuse_want(world, want, RefusalReason.NO_ENDPOINT, COME_BACK_AFTER)
+    timed_out = world.now - want.since > world.settings.timing.patience
+    if not available or avoided or timed_out:
+        _refuse_want(world, want, RefusalReason.NO_ENDPOINT, REFUSAL_RETRY_DELAY)
 
 
 def _send_ask(world: World, want: Want) -> None:
@@ -277,7 +281,7 @@
     return None
 
 
-def _keep_view(world: World, view: View) -> None:
+def _store_view(world: World, view: View) -> None:
     endpoint = EndpointId(view.endpoint)
     world.entry.views[endpoint] = EndpointView(
         endpoint=endpoint,
@@ -288,24 +292,24 @@
     )
 
 
-@hears(GrantPermit)
-def take_grant(world: World, sender: VmId, grant: GrantPermit) -> None:
+@handles_message(GrantPermit)
+def receive_grant(world: World, sender: VmId, grant: GrantPermit) -> None:
     """Hold a permit that was asked for; return one that nobody waits for."""
     for view in grant.views:
-        _keep_view(world, view)
+        _store_view(world, view)
     if PermitId(grant.ask) in world.entry.held:
         return
     want = _find_want(world, grant.ask)
     known_turn = want is not None and grant.turn < len(want.sent_at)
     expires_at = want.sent_at[grant.turn] + grant.life if want and known_turn else NEVER
     if want is None or world.now >= expires_at:
-        back = ReturnPermit(
+        returned = ReturnPermit(
             permit=grant.ask,
             endpoint=grant.endpoint,
             running=0,
             unsure=False,
         )
-        world.send(sender, back)
+        world.send(sender, returned)
         if want is not None:
             world.entry.wants[want.want] = _clear_ask(want)
         return
@@ -320,16 +324,16 @@
         idle_since=world.now,
     )
     world.entry.held[held.permit] = held
-    if is_open_for_work(world, held.endpoint):
+    if is_available(world, held.endpoint):
         _grant_want(world, want, held)
     else:
         world.entry.wants[want.want] = _clear_ask(want)
 
 
-@hears(AskQueued)
-def take_queued(world: World, sender: VmId, queued: AskQueued) -> None:
+@handles_message(AskQueued)
+def receive_queued(world: World, sender: VmId, queued: AskQueued) -> None:
     """Note that the ask waits; go elsewhere or give up if it waits too long."""
-    _keep_view(world, queued.view)
+    _store_view(world, queued.view)
     want = _find_want(world, queued.ask)
     if want is None:
         return
@@ -352,18 +356,18 @@
         _refuse_want(world, want, RefusalReason.DEADLINE, queued.expected_wait)
 
 
-@hears(RefusePermit)
-def take_refusal(world: World, sender: VmId, refusal: RefusePermit) -> None:
+@handles_message(RefusePermit)
+def receive_refusal(world: World, sender: VmId, refusal: RefusePermit) -> None:
     """Follow the hint of a refusal, or ask for another endpoint."""
     endpoint = EndpointId(refusal.endpoint)
     if refusal.reason == LEAVING:
-        world.entry.leaving[endpoint] = world.now + LEAVING_FOR
+        world.entry.leaving[endpoint] = world.now + LEAVING_DURATION
     if refusal.reason == NOT_LEADER:
         _follow_hint(world, endpoint, refusal.leader)
     want = _find_want(world, refusal.ask)
     if want is None:
         return
-    if refusal.leader and want.hints_followed < MOST_HINTS:
+    if refusal.leader and want.hints_followed < MAX_HINTS:
         _send_ask(world, replace(want, hints_followed=want.hints_followed + 1))
         return
     world.entry.silent_until[endpoint] = world.now + max(
@@ -379,7 +383,7 @@
         world.entry.hints[endpoint] = VmId(leader)
 
 
-@handles(PermitUsed)
+@handles_event(PermitUsed)
 def end_use(world: World, used: PermitUsed) -> None:
     """Take a request's place back."""
     held = world.entry.held.get(used.permit)
@@ -403,19 +407,19 @@
     timing = world.settings.timing
     for held in list(world.entry.held.values()):
         idle = held.running == 0 and world.now - held.idle_since > timing.permit_idle
-        over = world.now >= held.expires_at
-        shut = not is_open_for_work(world, held.endpoint)
-        if not held.returned and (idle or over or shut or held.unsure):
+        expired = world.now >= held.expires_at
+        unavailable = not is_available(world, held.endpoint)
+        if not held.returned and (idle or expired or unavailable or held.unsure):
             held = replace(held, returned=True, told_at=NEVER)
             world.entry.held[held.permit] = held
-        if held.returned and world.now - held.told_at > TELL_AGAIN_AFTER:
-            _tell_return(world, held)
+        if held.returned and world.now - held.told_at > RETURN_RETRY_INTERVAL:
+            _report_return(world, held)
 
 
-def _tell_return(world: World, held: HeldPermit) -> None:
+def _report_return(world: World, held: HeldPermit) -> None:
     leader = find_leader(world, held.endpoint)
-    forgotten = world.now - held.expires_at > FORGET_RETURNED_AFTER
-    if leader is None or (forgotten and held.running == 0):
+    retention_over = world.now - held.expires_at > RETURNED_RETENTION
+    if leader is None or (retention_over and held.running == 0):
         if held.running == 0:
             del world.entry.held[held.permit]
         return
@@ -429,8 +433,8 @@
     world.send(leader, returned)
 
 
-@hears(PermitClosed)
-def forget_permit(world: World, sender: VmId, closed: PermitClosed) -> None:
+@handles_message(PermitClosed)
+def remove_permit(world: World, sender: VmId, closed: PermitClosed) -> None:
     """Forget a permit whose end the leader has noted."""
     held = world.entry.held.get(PermitId(closed.permit))
     if held is not None and held.running == 0 and held.returned:
--- a/src/kestreltally/systems/leadership.py
+++ b/src/kestreltally/systems/leadership.py
@@ -41,20 +41,25 @@
 from kestreltally.peers.messages import HandedPermit, HandOver
 from kestreltally.systems.hashing import choose_owner
 from kestreltally.systems.membership import (
-    find_data_centre,
+    get_data_centre,
     is_reachable,
     list_eligible,
 )
-from kestreltally.systems.registry import handles, handles_pause, hears, runs_each_tick
+from kestreltally.systems.registry import (
+    handles_event,
+    handles_message,
+    handles_pause,
+    runs_each_tick,
+)
 from kestreltally.world import World
 
 PART: Final = "leadership"
 TOKEN_BITS: Final = 20
-FENCE_AGAIN_AFTER: Final[Seconds] = 1.0
-CONFIRM_AGAIN_SHARE: Final = 0.5
-CLAIM_LIFE: Final[Seconds] = 5.0
-HAND_OVER_AFTER: Final[Seconds] = 1.0
-MOST_DOUBLINGS: Final = 8
+FENCE_RETRY_INTERVAL: Final[Seconds] = 1.0
+CONFIRM_FRACTION: Final = 0.5
+CLAIM_TTL: Final[Seconds] = 5.0
+HAND_OVER_DELAY: Final[Seconds] = 1.0
+MAX_DOUBLINGS: Final = 8
 ALL: Final = "*"
 ACTIVE: Final = frozenset({Phase.CLAIMED, Phase.FENCED})
 
@@ -72,22 +77,22 @@
 
 def is_confirmed(world: World, led: LedEndpoint) -> bool:
     """Tell whether the leadership was confirmed within one lease."""
-    return _unconfirmed_for(world, led) <= world.settings.timing.lease
+    return _get_unconfirmed_time(world, led) <= world.settings.timing.lease
 
 
-def _unconfirmed_for(world: World, led: LedEndpoint) -> Seconds:
+def _get_unconfirmed_time(world: World, led: LedEndpoint) -> Seconds:
     """Return how long ago object or daemons last confirmed the leadership."""
     return world.now - max(led.confirmed_at, world.members.confirmed_at)
 
 
-def may_act(world: World, led: LedEndpoint) -> bool:
+def can_act(world: World, led: LedEndpoint) -> bool:
     """Tell whether the leader may grant and order at this moment."""
     return led.phase is Phase.FENCED and is_confirmed(world, led)
 
 
 def find_owner(world: World, endpoint: EndpointId) -> VmId | None:
     """Return the daemon that should lead an endpoint, by this daemon's view."""
-    _work_out_owners(world)
+    _refresh_owners(world)
     owners = world.leaders.owners
     if endpoint not in owners:
         spec = world.config.endpoints.get(endpoint)
@@ -99,8 +104,10 @@
 
 def _choose_owner(world: World, endpoint: EndpointId, data_centre: str) -> VmId | None:
     """Return the owner among the daemons near an endpoint, or among all."""
-    near = world.leaders.vms_by_data_centre
-    owner = choose_owner(endpoint, near.get(data_centre) or near[ALL])
+    by_data_centre = world.leaders.vms_by_data_centre
+    owner = choose_owner(
+        endpoint, by_data_centre.get(data_centre) or by_data_centre[ALL]
+    )
     return VmId(owner) if owner is not None else None
 
 
@@ -115,7 +122,7 @@
     return find_owner(world, endpoint)
 
 
-def _work_out_owners(world: World) -> None:
+def _refresh_owners(world: World) -> None:
     """Work out anew what this daemon owns when daemons or endpoints have changed.
 
     The owners of other data centres' endpoints are worked out when asked for.
@@ -125,21 +132,24 @@
     if table.owned_as_of == stamp:
         return
     table.owned_as_of = stamp
-    near: dict[str, list[str]] = {ALL: []}
+    vms_by_data_centre: dict[str, list[str]] = {ALL: []}
     for vm in list_eligible(world):
-        near[ALL].append(vm)
-        near.setdefault(find_data_centre(world, vm), []).append(vm)
-    table.vms_by_data_centre = near
-    own = world.identity
+        vms_by_data_centre[ALL].append(vm)
+        vms_by_data_centre.setdefault(get_data_centre(world, vm), []).append(vm)
+    table.vms_by_data_centre = vms_by_data_centre
+    identity = world.identity
     table.owners = {
         endpoint: _choose_owner(world, endpoint, spec.data_centre)
         for endpoint, spec in world.config.endpoints.items()
-        if spec.data_centre == own.data_centre or spec.data_centre not in near
+        if spec.data_centre == identity.data_centre
+        or spec.data_centre not in vms_by_data_centre
     }
-    table.owned = frozenset(e for e, owner in table.owners.items() if owner == own.vm)
+    table.owned = frozenset(
+        e for e, owner in table.owners.items() if owner == identity.vm
+    )
 
 
-def _is_gone(world: World, record: LeaderRecord) -> bool:
+def _is_leader_gone(world: World, record: LeaderRecord) -> bool:
     """Tell whether the recorded leader can no longer be leading."""
     if record.leader == world.identity.vm:
         return True
@@ -149,7 +159,7 @@
     return member.incarnation > record.incarnation
 
 
-def _may_claim(world: World, endpoint: EndpointId) -> bool:
+def _can_claim(world: World, endpoint: EndpointId) -> bool:
     table = world.leaders
     if endpoint in table.led or endpoint in table.claiming:
         return False
@@ -161,7 +171,7 @@
     record = table.records.get(endpoint)
     if record is None:
         return True
-    return _is_gone(world, record) and not _is_perhaps_cut_off(world)
+    return _is_leader_gone(world, record) and not _may_be_isolated(world)
 
 
 def has_contact(world: World) -> bool:
@@ -169,7 +179,7 @@
     return world.now - world.members.confirmed_at <= world.settings.timing.lease
 
 
-def _is_perhaps_cut_off(world: World) -> bool:
+def _may_be_isolated(world: World) -> bool:
     """Tell whether the others may be alive, and this daemon alone cut off.
 
     A daemon that hears nobody waits long before it takes anything over, and
@@ -178,10 +188,10 @@
     if has_contact(world):
         world.leaders.isolated_losses = 0
         return False
-    alone_since = max(world.members.confirmed_at, world.started_at)
-    doublings = min(world.leaders.isolated_losses, MOST_DOUBLINGS)
+    isolated_since = max(world.members.confirmed_at, world.started_at)
+    doublings = min(world.leaders.isolated_losses, MAX_DOUBLINGS)
     wait = world.settings.timing.isolated_claim * (1 << doublings)
-    return world.now - alone_since < wait
+    return world.now - isolated_since < wait
 
 
 def _claim(world: World, endpoint: EndpointId, reason: str) -> None:
@@ -210,22 +220,22 @@
 @runs_each_tick(30, on_wake=True)
 def claim_owned(world: World) -> None:
     """Claim what this daemon should lead and nobody live leads."""
-    _work_out_owners(world)
+    _refresh_owners(world)
     table = world.leaders
     for endpoint, claiming in list(table.claiming.items()):
-        if world.now - claiming.since > CLAIM_LIFE:
+        if world.now - claiming.since > CLAIM_TTL:
             del table.claiming[endpoint]
     if world.members.leaving:
         return
     settled = world.now - world.started_at >= world.settings.timing.settle
-    wanted = set(table.offers) | (table.owned if settled else set())
-    for endpoint in sorted(wanted):
-        if endpoint in world.config.endpoints and _may_claim(world, endpoint):
+    to_claim = set(table.offers) | (table.owned if settled else set())
+    for endpoint in sorted(to_claim):
+        if endpoint in world.config.endpoints and _can_claim(world, endpoint):
             offered = endpoint in table.offers
             _claim(world, endpoint, "offered" if offered else "no live leader")
 
 
-def _take_offer_for(world: World, endpoint: EndpointId, version: int) -> Offer | None:
+def _adopt_offer(world: World, endpoint: EndpointId, version: int) -> Offer | None:
     """Take the former leader's book over, if it was offered for this version."""
     offer = world.leaders.offers.pop(endpoint, None)
     if offer is None or offer.version != version:
@@ -235,27 +245,27 @@
     return offer
 
 
-@handles(ClaimEnded)
-def take_claim(world: World, ended: ClaimEnded) -> None:
+@handles_event(ClaimEnded)
+def apply_claim_result(world: World, ended: ClaimEnded) -> None:
     """Begin to lead after a won claim; learn the winner after a lost one."""
     table = world.leaders
     claiming = table.claiming.pop(ended.endpoint, None)
     if ended.record is not None:
-        _learn_record(world, ended.record)
+        _apply_record(world, ended.record)
     newest = table.records.get(ended.endpoint)
-    overtaken = newest is not None and newest.change != _change_of(ended.record)
-    if claiming is None or not ended.won or ended.record is None or overtaken:
+    superseded = newest is not None and newest.change != _get_change(ended.record)
+    if claiming is None or not ended.won or ended.record is None or superseded:
         table.offers.pop(ended.endpoint, None)
         return
-    offer = _take_offer_for(world, ended.endpoint, claiming.expected_version)
-    _begin_to_lead(world, ended.record, ended.claimed_at, offer)
+    offer = _adopt_offer(world, ended.endpoint, claiming.expected_version)
+    _start_leading(world, ended.record, ended.claimed_at, offer)
 
 
-def _change_of(record: LeaderRecord | None) -> str:
+def _get_change(record: LeaderRecord | None) -> str:
     return "" if record is None else record.change
 
 
-def _begin_to_lead(
+def _start_leading(
     world: World,
     record: LeaderRecord,
     claimed_at: Seconds,
@@ -264,10 +274,10 @@
     """Enter an endpoint as led, with the waits that its former leader demands."""
     spec = world.config.endpoints.get(record.endpoint)
     timing = world.settings.timing
-    alone = offer is not None or record.epoch == 1
-    lease_wait = 0.0 if alone else timing.lease + timing.permit_margin
-    permit_wait = 0.0 if alone else timing.permit_life + timing.permit_margin
-    unchecked = spec is not None and not spec.checks_fence and not alone
+    uncontested = offer is not None or record.epoch == 1
+    lease_wait = 0.0 if uncontested else timing.lease + timing.permit_margin
+    permit_wait = 0.0 if uncontested else timing.permit_life + timing.permit_margin
+    unchecked = spec is not None and not spec.checks_fence and not uncontested
     orders_wait = lease_wait + timing.order_timeout if unchecked else 0.0
     unloads_after = world.now + max(lease_wait + permit_wait, orders_wait)
     if offer is not None:
@@ -291,7 +301,7 @@
     )
 
 
-def _learn_record(world: World, record: LeaderRecord) -> None:
+def _apply_record(world: World, record: LeaderRecord) -> None:
     """Keep the newest record, and stop leading what another has claimed."""
     table = world.leaders
     known = table.records.get(record.endpoint)
@@ -305,11 +315,11 @@
         stop_leading(world, record.endpoint, "another leads")
 
 
-@handles(LeadersChanged)
-def take_leaders(world: World, changed: LeadersChanged) -> None:
+@handles_event(LeadersChanged)
+def apply_leaders(world: World, changed: LeadersChanged) -> None:
     """Take in what the watch on leader records brought."""
     for record in changed.records:
-        _learn_record(world, record)
+        _apply_record(world, record)
 
 
 def stop_leading(world: World, endpoint: EndpointId, reason: str) -> None:
@@ -327,7 +337,7 @@
 
 
 @runs_each_tick(31)
-def keep_confirmed(world: World) -> None:
+def maintain_confirmation(world: World) -> None:
     """Suspend what cannot be confirmed; ask the object API before that."""
     lease = world.settings.timing.lease
     for led in list(world.leaders.led.values()):
@@ -342,21 +352,19 @@
                 reason="not confirmed within the lease",
                 endpoint=led.endpoint,
             )
-        due = _unconfirmed_for(world, led) > lease * CONFIRM_AGAIN_SHARE
-        asked_lately = (
-            world.now - led.confirm_asked_at < lease * CONFIRM_AGAIN_SHARE / 2
-        )
-        if (due or led.phase is Phase.SUSPENDED) and not asked_lately:
+        due = _get_unconfirmed_time(world, led) > lease * CONFIRM_FRACTION
+        asked_recently = world.now - led.confirm_asked_at < lease * CONFIRM_FRACTION / 2
+        if (due or led.phase is Phase.SUSPENDED) and not asked_recently:
             world.update_led(led, confirm_asked_at=world.now)
             world.outbox.append(ReadLeader(endpoint=led.endpoint))
 
 
-@handles(LeaderRead)
-def take_read_leader(world: World, read: LeaderRead) -> None:
+@handles_event(LeaderRead)
+def apply_leader_read(world: World, read: LeaderRead) -> None:
     """Confirm the leadership, or end it, by what the object API holds."""
     if read.failed or read.record is None:
         return
-    _learn_record(world, read.record)
+    _apply_record(world, read.record)
     led = world.leaders.led.get(read.endpoint)
     if led is None or read.record.change != led.record.change:
         return
@@ -382,7 +390,7 @@
         spec = world.config.endpoints[led.endpoint]
         if spec.kind is EndpointKind.SERVICE or not spec.checks_fence:
             _become_fenced(world, led)
-        elif world.now - led.fence_asked_at >= FENCE_AGAIN_AFTER:
+        elif world.now - led.fence_asked_at >= FENCE_RETRY_INTERVAL:
             world.update_led(led, fence_asked_at=world.now)
             token = make_token(world, led)
             world.outbox.append(RaiseFence(endpoint=led.endpoint, epoch=token))
@@ -393,8 +401,8 @@
     world.events.add(PART, "acts as leader", endpoint=led.endpoint)
 
 
-@handles(FenceRaised)
-def take_fence(world: World, raised: FenceRaised) -> None:
+@handles_event(FenceRaised)
+def apply_fence_result(world: World, raised: FenceRaised) -> None:
     """Act as leader once the endpoint refuses older orders."""
     led = world.leaders.led.get(raised.endpoint)
     if led is None or led.phase is not Phase.CLAIMED:
@@ -407,7 +415,7 @@
         world.update_led(led, confirm_asked_at=NEVER, phase=Phase.SUSPENDED)
 
 
-def _hand_permit(world: World, permit: GrantedPermit) -> HandedPermit:
+def _make_handed_permit(world: World, permit: GrantedPermit) -> HandedPermit:
     return HandedPermit(
         permit=permit.permit,
         adapter=permit.adapter.adapter,
@@ -420,7 +428,7 @@
     )
 
 
-def _is_due_elsewhere(world: World, led: LedEndpoint, owner: VmId) -> bool:
+def _should_hand_over(world: World, led: LedEndpoint, owner: VmId) -> bool:
     """Tell whether an endpoint should be handed to its owner now."""
     if owner == world.identity.vm:
         return False
@@ -429,7 +437,7 @@
         return False
     if world.members.leaving:
         return True
-    return world.now - led.since > HAND_OVER_AFTER
+    return world.now - led.since > HAND_OVER_DELAY
 
 
 @runs_each_tick(33)
@@ -445,7 +453,7 @@
         owner = find_owner(world, led.endpoint)
         if owner is None or led.phase is not Phase.FENCED:
             continue
-        if _is_due_elsewhere(world, led, owner):
+        if _should_hand_over(world, led, owner):
             _offer(world, led, owner)
 
 
@@ -458,7 +466,9 @@
         version=led.record.version,
         bar_left=max(0.0, led.unloads_after - world.now),
         unsure=unsure,
-        permits=[_hand_permit(world, each) for each in world.permits_of(led.endpoint)],
+        permits=[
+            _make_handed_permit(world, each) for each in world.permits_of(led.endpoint)
+        ],
     )
     world.update_led(led, phase=Phase.HANDING_OVER, handed_at=world.now)
     world.send(owner, offer)
@@ -470,8 +480,8 @@
     )
 
 
-@hears(HandOver)
-def take_offer(world: World, sender: VmId, offer: HandOver) -> None:
+@handles_message(HandOver)
+def receive_offer(world: World, sender: VmId, offer: HandOver) -> None:
     """Prepare to claim an endpoint that its leader offers."""
     endpoint = EndpointId(offer.endpoint)
     record = world.leaders.records.get(endpoint)
--- a/src/kestreltally/systems/loading.py
+++ b/src/kestreltally/systems/loading.py
@@ -33,23 +33,23 @@
 from kestreltally.systems.budget import find_budget_leader
 from kestreltally.systems.demand import measure_demand
 from kestreltally.systems.granting import is_endpoint_leaving
-from kestreltally.systems.leadership import TOKEN_BITS, make_token, may_act
-from kestreltally.systems.registry import handles, hears, runs_each_tick
+from kestreltally.systems.leadership import TOKEN_BITS, can_act, make_token
+from kestreltally.systems.registry import handles_event, handles_message, runs_each_tick
 from kestreltally.world import World
 
 PART: Final = "loads"
-LOADS_AT_ONCE_PER_ENDPOINT: Final = 1
-ASK_BUDGET_AGAIN_AFTER: Final[Seconds] = 1.0
-FALL_BACK_AFTER: Final[Seconds] = 2.0
-FAILED_LOAD_WAIT: Final[Seconds] = 1.0
-UNLOAD_AGAIN_AFTER: Final[Seconds] = 1.0
+MAX_CONCURRENT_LOADS_PER_ENDPOINT: Final = 1
+BUDGET_ASK_RETRY_INTERVAL: Final[Seconds] = 1.0
+BUDGET_FALLBACK_DELAY: Final[Seconds] = 2.0
+FAILED_LOAD_RETRY_DELAY: Final[Seconds] = 1.0
+UNLOAD_RETRY_INTERVAL: Final[Seconds] = 1.0
 LOAD_TIME_WEIGHT: Final = 0.2
-URGENCY: Final = {
+URGENCY_BY_PRIORITY: Final = {
     Priority.INTERACTIVE: 4.0,
     Priority.STANDARD: 2.0,
     Priority.BATCH: 1.0,
 }
-CLOSE_BUSY_AFTER: Final[Seconds] = 4.0
+CLOSE_BUSY_DELAY: Final[Seconds] = 4.0
 
 UNLOAD_ONLY_UNUSED = declare_invariant(
     "unload-only-unused",
@@ -64,41 +64,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hunger:
+class Backlog:
     """The requests that wait for one adapter version at one endpoint."""
 
     adapter: AdapterVersion
     urgency: float
-    oldest: Seconds
+    waiting_since: Seconds
     count: int
 
 
-def measure_hunger(asks: list[Ask], now: Seconds) -> Hunger:
+def measure_backlog(asks: list[Ask], now: Seconds) -> Backlog:
     """Return how much the asks of one adapter hurt by waiting."""
-    urgency = sum(URGENCY[ask.priority] * (1.0 + now - ask.arrived_at) for ask in asks)
-    oldest = min(ask.arrived_at for ask in asks)
-    return Hunger(
+    urgency = sum(
+        URGENCY_BY_PRIORITY[ask.priority] * (1.0 + now - ask.arrived_at) for ask in asks
+    )
+    waiting_since = min(ask.arrived_at for ask in asks)
+    return Backlog(
         adapter=asks[0].adapter,
         urgency=urgency,
-        oldest=oldest,
+        waiting_since=waiting_since,
         count=len(asks),
     )
 
 
-def list_hungry(world: World, led: LedEndpoint) -> list[Hunger]:
+def list_backlogs(world: World, led: LedEndpoint) -> list[Backlog]:
     """Return the adapters that are asked for and not held, most urgent first."""
     waiting: dict[AdapterVersion, list[Ask]] = defaultdict(list)
     for ask in world.book.asks.values():
         absent = ask.adapter != SERVICE and ask.adapter not in led.slots
         if ask.endpoint == led.endpoint and absent:
             waiting[ask.adapter].append(ask)
-    hungry = [measure_hunger(asks, world.now) for asks in waiting.values()]
-    hungry.extend(
-        Hunger(adapter=pinned, urgency=0.0, oldest=world.now, count=0)
+    backlogs = [measure_backlog(asks, world.now) for asks in waiting.values()]
+    backlogs.extend(
+        Backlog(adapter=pinned, urgency=0.0, waiting_since=world.now, count=0)
         for pinned in list_pinned(world, led.endpoint)
         if pinned not in led.slots and pinned not in waiting
     )
-    return sorted(hungry, key=lambda each: (-each.urgency, str(each.adapter)))
+    return sorted(backlogs, key=lambda each: (-each.urgency, str(each.adapter)))
 
 
 def list_pinned(world: World, endpoint: EndpointId) -> list[AdapterVersion]:
@@ -121,7 +123,7 @@
     return report is not None and report.running.get(slot.adapter, 0) > 0
 
 
-def may_unload(world: World, led: LedEndpoint, slot: Slot) -> bool:
+def can_unload(world: World, led: LedEndpoint, slot: Slot) -> bool:
     """Tell whether the leader may unload the adapter of a slot now."""
     if world.now < max(led.unloads_after, led.orders_after):
         return False
@@ -130,12 +132,12 @@
     return not is_in_use(world, led, slot)
 
 
-def loads_of(world: World, endpoint: EndpointId) -> list[Load]:
+def list_loads(world: World, endpoint: EndpointId) -> list[Load]:
     """Return the loads planned or under way at an endpoint."""
     return [load for load in world.book.loads.values() if load.endpoint == endpoint]
 
 
-def _choose_victim(world: World, led: LedEndpoint, hunger: Hunger) -> Slot | None:
+def _choose_victim(world: World, led: LedEndpoint, backlog: Backlog) -> Slot | None:
     """Return the slot to empty for a hungry adapter, if one should be."""
     waiting: dict[AdapterVersion, int] = defaultdict(int)
     for ask in world.book.asks.values():
@@ -159,9 +161,9 @@
         if not is_in_use(world, led, led.slots[adapter])
     ]
     evict = EVICTERS[world.settings.placement.policy]
-    gain = max(hunger.urgency, measure_demand(world, led.endpoint, hunger.adapter))
+    gain = max(backlog.urgency, measure_demand(world, led.endpoint, backlog.adapter))
     victim = evict(idle, gain, world.now) if idle else None
-    if victim is None and world.now - hunger.oldest > CLOSE_BUSY_AFTER:
+    if victim is None and world.now - backlog.waiting_since > CLOSE_BUSY_DELAY:
         unpinned = [each for each in residents.values() if not each.pinned]
         victim = min(unpinned, key=lambda each: each.demand, default=None)
     return led.slots[victim.adapter] if victim is not None else None
@@ -174,54 +176,56 @@
         return
     for led in list(world.leaders.led.values()):
         spec = world.config.endpoints[led.endpoint]
-        if spec.kind is not EndpointKind.ENGINE or not may_act(world, led):
+        if spec.kind is not EndpointKind.ENGINE or not can_act(world, led):
             continue
         if is_endpoint_leaving(world, spec) or world.now < led.orders_after:
             continue
-        _cancel_unwanted(world, led)
-        planned = loads_of(world, led.endpoint)
+        _cancel_unrequested(world, led)
+        planned = list_loads(world, led.endpoint)
         names = {load.adapter for load in planned}
-        for hunger in list_hungry(world, led):
-            if len(planned) >= LOADS_AT_ONCE_PER_ENDPOINT:
+        for backlog in list_backlogs(world, led):
+            if len(planned) >= MAX_CONCURRENT_LOADS_PER_ENDPOINT:
                 break
-            if hunger.adapter not in names and not _failed_lately(world, led, hunger):
-                planned.append(_plan(world, led, hunger))
+            if backlog.adapter not in names and not _failed_recently(
+                world, led, backlog
+            ):
+                planned.append(_plan_load(world, led, backlog))
 
 
-def _failed_lately(world: World, led: LedEndpoint, hunger: Hunger) -> bool:
-    failed_at = world.book.failed_loads.get((led.endpoint, hunger.adapter), NEVER)
-    return world.now - failed_at < FAILED_LOAD_WAIT
+def _failed_recently(world: World, led: LedEndpoint, backlog: Backlog) -> bool:
+    failed_at = world.book.failed_loads.get((led.endpoint, backlog.adapter), NEVER)
+    return world.now - failed_at < FAILED_LOAD_RETRY_DELAY
 
 
-def _plan(world: World, led: LedEndpoint, hunger: Hunger) -> Load:
+def _plan_load(world: World, led: LedEndpoint, backlog: Backlog) -> Load:
     serial = make_token(world, led)
     load = Load(
         load=f"{world.identity.vm}/{led.endpoint}/{serial}",
         endpoint=led.endpoint,
-        adapter=hunger.adapter,
+        adapter=backlog.adapter,
         state=LoadState.WAITING_FOR_SLOT,
         since=world.now,
-        urgency=hunger.urgency,
+        urgency=backlog.urgency,
     )
     world.book.loads[load.load] = load
     world.events.add(
         PART,
         "plans a load",
-        reason=f"{hunger.count} waiting",
+        reason=f"{backlog.count} waiting",
         endpoint=led.endpoint,
-        adapter=str(hunger.adapter),
+        adapter=str(backlog.adapter),
     )
     return load
 
 
-def _cancel_unwanted(world: World, led: LedEndpoint) -> None:
+def _cancel_unrequested(world: World, led: LedEndpoint) -> None:
     """Drop planned loads that nobody waits for any more."""
-    wanted = {
+    requested = {
         ask.adapter for ask in world.book.asks.values() if ask.endpoint == led.endpoint
     }
-    wanted.update(list_pinned(world, led.endpoint))
-    for load in loads_of(world, led.endpoint):
-        if load.state is not LoadState.ORDERED and load.adapter not in wanted:
+    requested.update(list_pinned(world, led.endpoint))
+    for load in list_loads(world, led.endpoint):
+        if load.state is not LoadState.ORDERED and load.adapter not in requested:
             _end_load(world, load)
 
 
@@ -233,20 +237,20 @@
 
 def _count_free_slots(world: World, led: LedEndpoint, besides: Load) -> int:
     spec = world.config.endpoints[led.endpoint]
-    taken = set(led.slots) | {
+    occupied = set(led.slots) | {
         load.adapter
-        for load in loads_of(world, led.endpoint)
+        for load in list_loads(world, led.endpoint)
         if load.load != besides.load and load.state is not LoadState.WAITING_FOR_SLOT
     }
-    return spec.slots - len(taken)
+    return spec.slots - len(occupied)
 
 
 @runs_each_tick(71, on_wake=True)
-def find_slots(world: World) -> None:
+def assign_slots(world: World) -> None:
     """Give each planned load a slot, closing another one where it must."""
     for load in list(world.book.loads.values()):
         led = world.leaders.led.get(load.endpoint)
-        if led is None or not may_act(world, led):
+        if led is None or not can_act(world, led):
             continue
         if load.state is not LoadState.WAITING_FOR_SLOT:
             continue
@@ -256,12 +260,12 @@
         if load.victim is not None and load.victim in led.slots:
             continue
         closing = [slot for slot in led.slots.values() if slot.closing]
-        needing = [
+        waiting_loads = [
             each
-            for each in loads_of(world, load.endpoint)
+            for each in list_loads(world, load.endpoint)
             if each.state is LoadState.WAITING_FOR_SLOT
         ]
-        if len(closing) >= len(needing):
+        if len(closing) >= len(waiting_loads):
             continue
         _close_victim(world, led, load)
 
@@ -280,7 +284,7 @@
     ]
     if not asks:
         return
-    victim = _choose_victim(world, led, measure_hunger(asks, world.now))
+    victim = _choose_victim(world, led, measure_backlog(asks, world.now))
     if victim is None:
         return
     _set_load(world, load, victim=victim.adapter)
@@ -298,15 +302,15 @@
 def unload_closed(world: World) -> None:
     """Order the unloading of closed slots that nothing can use any more."""
     for led in list(world.leaders.led.values()):
-        if not may_act(world, led):
+        if not can_act(world, led):
             continue
         for slot in led.slots.values():
-            ordered_lately = (
-                slot.unloading and world.now - slot.ordered_at < UNLOAD_AGAIN_AFTER
+            ordered_recently = (
+                slot.unloading and world.now - slot.ordered_at < UNLOAD_RETRY_INTERVAL
             )
-            if not slot.closing or ordered_lately:
+            if not slot.closing or ordered_recently:
                 continue
-            if may_unload(world, led, slot):
+            if can_unload(world, led, slot):
                 led = _order_unload(world, led, slot)
 
 
@@ -338,27 +342,29 @@
 def _require_leader(world: World, led: LedEndpoint) -> None:
     world.invariants.require(
         ORDER_ONLY_AS_LEADER,
-        may_act(world, led) and world.now >= led.orders_after,
+        can_act(world, led) and world.now >= led.orders_after,
         f"{led.endpoint} is {led.phase.value}",
     )
 
 
 @runs_each_tick(73, on_wake=True)
-def ask_budget(world: World) -> None:
+def request_budget(world: World) -> None:
     """Ask for leave to load what has a slot; after a silence take the static share."""
     for load in list(world.book.loads.values()):
         led = world.leaders.led.get(load.endpoint)
         if load.state is not LoadState.WAITING_FOR_BUDGET or led is None:
             continue
-        if not may_act(world, led):
+        if not can_act(world, led):
             continue
         leader = find_budget_leader(world)
         changed_leader = load.budget_from != leader
-        if changed_leader or world.now - load.asked_at > ASK_BUDGET_AGAIN_AFTER:
+        if changed_leader or world.now - load.asked_at > BUDGET_ASK_RETRY_INTERVAL:
             load = _set_load(world, load, budget_from=leader, asked_at=world.now)
             if leader is not None:
                 world.send(leader, AskLoad(load=load.load, urgency=load.urgency))
-        if world.now - load.since > FALL_BACK_AFTER and _share_is_free(world):
+        if world.now - load.since > BUDGET_FALLBACK_DELAY and _is_static_share_free(
+            world
+        ):
             world.events.add(
                 PART,
                 "loads without leave",
@@ -369,23 +375,23 @@
             order_load(world, load)
 
 
-def _share_is_free(world: World) -> bool:
+def _is_static_share_free(world: World) -> bool:
     """Tell whether this daemon's static share allows a load: one at a time."""
     return not any(
         load.state is LoadState.ORDERED for load in world.book.loads.values()
-    ) and _budget_is_silent(world)
+    ) and _is_budget_leader_silent(world)
 
 
-def _budget_is_silent(world: World) -> bool:
+def _is_budget_leader_silent(world: World) -> bool:
     leader = find_budget_leader(world)
     if leader is None:
         return True
-    heard_at = world.book.budget_received_at
-    return world.now - heard_at > FALL_BACK_AFTER
+    received_at = world.book.budget_received_at
+    return world.now - received_at > BUDGET_FALLBACK_DELAY
 
 
-@hears(GrantLoad)
-def take_budget(world: World, sender: VmId, granted: GrantLoad) -> None:
+@handles_message(GrantLoad)
+def receive_load_grant(world: World, sender: VmId, granted: GrantLoad) -> None:
     """Order the load that the budget leader has given leave for."""
     world.book.budget_received_at = world.now
     load = world.book.loads.get(granted.load)
@@ -398,7 +404,7 @@
 def order_load(world: World, load: Load) -> None:
     """Order a load, if this daemon may still act as the endpoint's leader."""
     led = world.leaders.led.get(load.endpoint)
-    if led is None or not may_act(world, led) or load.adapter in led.slots:
+    if led is None or not can_act(world, led) or load.adapter in led.slots:
         _end_load(world, load)
         return
     _require_leader(world, led)
@@ -425,8 +431,8 @@
     )
 
 
-@handles(LoadEnded)
-def take_load(world: World, ended: LoadEnded) -> None:
+@handles_event(LoadEnded)
+def apply_load_result(world: World, ended: LoadEnded) -> None:
     """Open the slot of a loaded adapter, or plan anew after a failure."""
     load = world.book.loads.get(ended.load)
     if load is None:
@@ -445,7 +451,7 @@
         return
     if ended.outcome is not OrderOutcome.DONE or led is None:
         world.book.failed_loads[(ended.endpoint, ended.adapter)] = world.now
-        _forget_old_failures(world)
+        _prune_old_failures(world)
         return
     world.book.load_time += LOAD_TIME_WEIGHT * (took - world.book.load_time)
     slot = Slot(adapter=ended.adapter, loaded_at=world.now, used_at=world.now)
@@ -453,14 +459,14 @@
     world.put_slot(led, slot)
 
 
-def _forget_old_failures(world: World) -> None:
+def _prune_old_failures(world: World) -> None:
     for key, failed_at in list(world.book.failed_loads.items()):
-        if world.now - failed_at > FAILED_LOAD_WAIT:
+        if world.now - failed_at > FAILED_LOAD_RETRY_DELAY:
             del world.book.failed_loads[key]
 
 
-@handles(UnloadEnded)
-def take_unload(world: World, ended: UnloadEnded) -> None:
+@handles_event(UnloadEnded)
+def apply_unload_result(world: World, ended: UnloadEnded) -> None:
     """Free the slot; a slot whose unloading is in doubt stays closed."""
     led = world.leaders.led.get(ended.endpoint)
     if led is None or ended.adapter not in led.slots:
--- a/src/kestreltally/systems/membership.py
+++ b/src/kestreltally/systems/membership.py
@@ -14,25 +14,33 @@
 from kestreltally.entities.members import Member, MemberState
 from kestreltally.orders import StopRequested, VmsListed
 from kestreltally.peers.messages import Ack, Ping, PingFor, Rumour
-from kestreltally.systems.configuration import note_peer_revision, tell_unconfirmed
-from kestreltally.systems.registry import handles, handles_pause, hears, runs_each_tick
+from kestreltally.systems.configuration import (
+    get_unconfirmed_time,
+    record_peer_revision,
+)
+from kestreltally.systems.registry import (
+    handles_event,
+    handles_message,
+    handles_pause,
+    runs_each_tick,
+)
 from kestreltally.world import PendingPing, World
 
 PART: Final = "membership"
 RUMOURS_PER_MESSAGE: Final = 8
-RETELL_FACTOR: Final = 3
-HELPERS: Final = 2
+RETRANSMIT_FACTOR: Final = 3
+INDIRECT_PROBES: Final = 2
 FIRST_PROBES_PER_TICK: Final = 8
-DEAD_PROBE_EVERY: Final = 2
-FORGET_DEAD_AFTER: Final[Seconds] = 60.0
-PING_LIFE_IN_TIMEOUTS: Final = 4
-CONFIRMING_PINGS: Final = 3
+HEARTBEATS_PER_DEAD_PROBE: Final = 2
+DEAD_RETENTION: Final[Seconds] = 60.0
+PING_TTL_IN_TIMEOUTS: Final = 4
+MIN_CONFIRMING_PINGS: Final = 3
 
 
 def list_eligible(world: World) -> list[VmId]:
     """Return the daemons that may own a duty, this one included."""
-    own = [] if world.members.leaving else [world.identity.vm]
-    return own + [
+    eligible = [] if world.members.leaving else [world.identity.vm]
+    return eligible + [
         member.vm
         for member in world.members.known.values()
         if member.state in (MemberState.ALIVE, MemberState.SUSPECT)
@@ -46,7 +54,7 @@
     return listed is not None and listed.leaving
 
 
-def find_data_centre(world: World, vm: VmId) -> DataCentre:
+def get_data_centre(world: World, vm: VmId) -> DataCentre:
     """Return a daemon's data centre, empty when it is not known."""
     if vm == world.identity.vm:
         return world.identity.data_centre
@@ -62,22 +70,22 @@
     return member is not None and member.state is not MemberState.DEAD
 
 
-def make_own_rumour(world: World) -> Rumour:
+def make_local_rumour(world: World) -> Rumour:
     """Return what this daemon says of itself."""
-    own = world.identity
+    identity = world.identity
     state = MemberState.LEAVING if world.members.leaving else MemberState.ALIVE
     return Rumour(
-        vm=own.vm,
-        host=own.host,
-        port=own.port,
-        data_centre=own.data_centre,
-        incarnation=own.incarnation,
+        vm=identity.vm,
+        host=identity.host,
+        port=identity.port,
+        data_centre=identity.data_centre,
+        incarnation=identity.incarnation,
         counter=world.members.counter,
         state=int(state),
     )
 
 
-def _write_rumour(member: Member) -> Rumour:
+def _make_rumour(member: Member) -> Rumour:
     return Rumour(
         vm=member.vm,
         host=member.host,
@@ -89,21 +97,21 @@
     )
 
 
-def _pick_rumours(world: World, subject: VmId | None) -> list[Rumour]:
+def _choose_rumours(world: World, subject: VmId | None) -> list[Rumour]:
     """Return the own rumour, what is held of ``subject``, then the least told."""
     table = world.members
-    picked = [make_own_rumour(world)]
+    chosen = [make_local_rumour(world)]
     about = table.known.get(subject) if subject is not None else None
     if about is not None and about.state is not MemberState.ALIVE:
-        picked.append(_write_rumour(about))
-    least_told = sorted(table.rumours, key=lambda vm: (-table.rumours[vm], vm))
-    for vm in least_told[:RUMOURS_PER_MESSAGE]:
+        chosen.append(_make_rumour(about))
+    least_reported = sorted(table.rumours, key=lambda vm: (-table.rumours[vm], vm))
+    for vm in least_reported[:RUMOURS_PER_MESSAGE]:
         table.rumours[vm] -= 1
         if table.rumours[vm] <= 0:
             del table.rumours[vm]
         if vm != subject and vm in table.known:
-            picked.append(_write_rumour(table.known[vm]))
-    return picked
+            chosen.append(_make_rumour(table.known[vm]))
+    return chosen
 
 
 def _set_member(world: World, member: Member) -> None:
@@ -122,7 +130,7 @@
             detail=f"incarnation {member.incarnation} counter {member.counter}",
         )
     table.known[member.vm] = member
-    table.rumours[member.vm] = RETELL_FACTOR * ceil(log2(len(table.known) + 2))
+    table.rumours[member.vm] = RETRANSMIT_FACTOR * ceil(log2(len(table.known) + 2))
 
 
 def _refute(world: World, rumour: Rumour) -> None:
@@ -133,12 +141,12 @@
         world.members.counter = max(world.members.counter, rumour.counter + 1)
 
 
-def _hear_rumours(world: World, rumours: Iterable[Rumour]) -> None:
+def _apply_rumours(world: World, rumours: Iterable[Rumour]) -> None:
     for rumour in rumours:
         if rumour.vm == world.identity.vm:
             _refute(world, rumour)
             continue
-        heard = Member(
+        received = Member(
             vm=VmId(rumour.vm),
             host=rumour.host,
             port=rumour.port,
@@ -148,15 +156,15 @@
             state=MemberState(rumour.state),
             changed_at=world.now,
         )
-        before = world.members.known.get(heard.vm)
+        before = world.members.known.get(received.vm)
         if before is None:
-            if heard.state is not MemberState.DEAD:
-                _set_member(world, heard)
-        elif heard.age_key() > before.age_key():
-            kept = replace(
-                heard, changed_at=before.changed_at, acked_at=before.acked_at
+            if received.state is not MemberState.DEAD:
+                _set_member(world, received)
+        elif received.age_key() > before.age_key():
+            merged = replace(
+                received, changed_at=before.changed_at, acked_at=before.acked_at
             )
-            _set_member(world, kept)
+            _set_member(world, merged)
 
 
 def _send_ping(
@@ -177,9 +185,9 @@
     )
     ping = Ping(
         sequence=table.sequence,
-        rumours=_pick_rumours(world, vm),
+        rumours=_choose_rumours(world, vm),
         revision=world.config.revision,
-        unconfirmed_for=tell_unconfirmed(world),
+        unconfirmed_for=get_unconfirmed_time(world),
     )
     world.send_to(vm, host, port, ping)
 
@@ -189,7 +197,7 @@
     _send_ping(world, vm, member.host, member.port)
 
 
-def _is_pinged(member: Member) -> bool:
+def _is_pingable(member: Member) -> bool:
     return member.state is not MemberState.DEAD
 
 
@@ -198,10 +206,10 @@
     table = world.members
     while table.round:
         vm = table.round.pop()
-        if vm in table.known and _is_pinged(table.known[vm]):
+        if vm in table.known and _is_pingable(table.known[vm]):
             _ping_member(world, vm)
             return
-    table.round = [vm for vm, member in table.known.items() if _is_pinged(member)]
+    table.round = [vm for vm, member in table.known.items() if _is_pingable(member)]
     world.random.shuffle(table.round)
     if table.round:
         _ping_member(world, table.round.pop())
@@ -222,7 +230,7 @@
 
 def _is_known_up(world: World, vm: VmId) -> bool:
     member = world.members.known.get(vm)
-    return member is not None and _is_pinged(member)
+    return member is not None and _is_pingable(member)
 
 
 @runs_each_tick(10)
@@ -238,17 +246,17 @@
     table.next_heartbeat_at = world.now + world.settings.timing.heartbeat
     table.heartbeats += 1
     _ping_next(world)
-    if table.heartbeats % DEAD_PROBE_EVERY == 0:
+    if table.heartbeats % HEARTBEATS_PER_DEAD_PROBE == 0:
         _probe_dead(world)
 
 
-def _ask_helpers(world: World, sequence: int, pending: PendingPing) -> None:
+def _send_indirect_probes(world: World, sequence: int, pending: PendingPing) -> None:
     others = [
         vm
         for vm, member in world.members.known.items()
         if vm != pending.subject and member.state is MemberState.ALIVE
     ]
-    for vm in world.random.sample(others, min(HELPERS, len(others))):
+    for vm in world.random.sample(others, min(INDIRECT_PROBES, len(others))):
         world.send(vm, PingFor(sequence=sequence, subject=pending.subject))
 
 
@@ -263,13 +271,13 @@
 
 
 @runs_each_tick(11)
-def judge_silence(world: World) -> None:
+def detect_failures(world: World) -> None:
     """Suspect daemons that do not answer; hold dead those suspected for long."""
     timing = world.settings.timing
     table = world.members
     for sequence, pending in list(table.pending.items()):
         age = world.now - pending.sent_at
-        if age > timing.ack_timeout * PING_LIFE_IN_TIMEOUTS:
+        if age > timing.ack_timeout * PING_TTL_IN_TIMEOUTS:
             del table.pending[sequence]
             if pending.on_behalf_of is None:
                 _suspect(world, pending.subject)
@@ -277,60 +285,60 @@
             table.pending[sequence] = replace(pending, indirect_probe_sent=True)
             if pending.on_behalf_of is None and _is_known_up(world, pending.subject):
                 table.recent_pings.append(False)
-                _ask_helpers(world, sequence, pending)
+                _send_indirect_probes(world, sequence, pending)
     if world.now - table.suspects_checked_at >= timing.ack_timeout:
         table.suspects_checked_at = world.now
-        _judge_doubtful(world)
+        _expire_suspects(world)
 
 
-def _judge_doubtful(world: World) -> None:
+def _expire_suspects(world: World) -> None:
     """Hold dead whom nobody has cleared; forget the long dead."""
     timing = world.settings.timing
     table = world.members
-    doubtful = [m for m in table.known.values() if m.state is not MemberState.ALIVE]
-    for member in doubtful:
+    not_alive = [m for m in table.known.values() if m.state is not MemberState.ALIVE]
+    for member in not_alive:
         age = world.now - member.changed_at
         if member.state is MemberState.SUSPECT and age > timing.suspicion:
             _set_member(world, replace(member, state=MemberState.DEAD))
-        elif member.state is MemberState.DEAD and age > FORGET_DEAD_AFTER:
+        elif member.state is MemberState.DEAD and age > DEAD_RETENTION:
             del table.known[member.vm]
             table.rumours.pop(member.vm, None)
 
 
 @runs_each_tick(12)
-def confirm_contact(world: World) -> None:
+def record_contact(world: World) -> None:
     """Note when most of the latest heartbeats were answered."""
     table = world.members
-    if sum(table.recent_pings) >= CONFIRMING_PINGS:
+    if sum(table.recent_pings) >= MIN_CONFIRMING_PINGS:
         table.confirmed_at = max(table.confirmed_at, table.latest_ack)
-    elif not table.known and not _others_listed(world):
+    elif not table.known and not _has_listed_peers(world):
         table.confirmed_at = world.now
 
 
-def _others_listed(world: World) -> bool:
+def _has_listed_peers(world: World) -> bool:
     return any(
         listed.is_daemon and vm != world.identity.vm
         for vm, listed in world.members.listed.items()
     )
 
 
-@hears(Ping)
+@handles_message(Ping)
 def answer_ping(world: World, sender: VmId, ping: Ping) -> None:
     """Answer a heartbeat and take its rumours in."""
-    _hear_rumours(world, ping.rumours)
-    note_peer_revision(world, sender, ping.revision, ping.unconfirmed_for)
+    _apply_rumours(world, ping.rumours)
+    record_peer_revision(world, sender, ping.revision, ping.unconfirmed_for)
     ack = Ack(
         sequence=ping.sequence,
         subject=world.identity.vm,
-        rumours=_pick_rumours(world, sender),
+        rumours=_choose_rumours(world, sender),
         revision=world.config.revision,
-        unconfirmed_for=tell_unconfirmed(world),
+        unconfirmed_for=get_unconfirmed_time(world),
     )
     world.send(sender, ack)
 
 
-@hears(PingFor)
-def ping_for_other(world: World, sender: VmId, request: PingFor) -> None:
+@handles_message(PingFor)
+def ping_for_peer(world: World, sender: VmId, request: PingFor) -> None:
     """Send a heartbeat that another daemon got no answer to."""
     subject = world.members.known.get(VmId(request.subject))
     if subject is None:
@@ -345,17 +353,17 @@
     )
 
 
-@hears(Ack)
-def take_ack(world: World, sender: VmId, ack: Ack) -> None:
+@handles_message(Ack)
+def receive_ack(world: World, sender: VmId, ack: Ack) -> None:
     """Note that a daemon is alive; pass the answer on to who asked for it."""
-    _hear_rumours(world, ack.rumours)
-    note_peer_revision(world, sender, ack.revision, ack.unconfirmed_for)
+    _apply_rumours(world, ack.rumours)
+    record_peer_revision(world, sender, ack.revision, ack.unconfirmed_for)
     pending = world.members.pending.pop(ack.sequence, None)
     if pending is None or pending.subject != ack.subject:
         return
     if pending.on_behalf_of is not None:
-        passed = replace(ack, sequence=pending.requester_sequence)
-        world.send(pending.on_behalf_of, passed)
+        forwarded = replace(ack, sequence=pending.requester_sequence)
+        world.send(pending.on_behalf_of, forwarded)
         return
     member = world.members.known.get(pending.subject)
     if member is not None:
@@ -365,35 +373,35 @@
         world.members.recent_pings.append(True)
 
 
-@handles(VmsListed)
-def take_vm_list(world: World, listed: VmsListed) -> None:
+@handles_event(VmsListed)
+def apply_vm_list(world: World, listed: VmsListed) -> None:
     """Take the VM list in: whom to try, and who is leaving."""
     table = world.members
     new = {each.vm: each for each in listed.vms}
     if new == table.listed:
         return
     table.changes += 1
-    own = world.identity.vm
+    local_vm = world.identity.vm
     for vm, each in new.items():
-        if each.is_daemon and vm != own and vm not in table.listed:
+        if each.is_daemon and vm != local_vm and vm not in table.listed:
             table.unprobed_vms.append(each)
     table.listed = new
 
 
-@handles(StopRequested)
+@handles_event(StopRequested)
 def announce_leaving(world: World, _: StopRequested) -> None:
     """Tell the others that this daemon is leaving."""
     table = world.members
     table.leaving = True
     table.changes += 1
     world.events.add(PART, "leaving", reason="planned stop")
-    others = [vm for vm, member in table.known.items() if _is_pinged(member)]
+    others = [vm for vm, member in table.known.items() if _is_pingable(member)]
     for vm in others[:FIRST_PROBES_PER_TICK]:
         _ping_member(world, vm)
 
 
 @handles_pause
-def forgive_silence(world: World, paused_for: Seconds) -> None:
+def reset_failure_detection(world: World, paused_for: Seconds) -> None:
     """Hold nobody silent for a time in which this daemon did not listen."""
     table = world.members
     world.events.add(PART, "was paused", detail=f"{paused_for:.2f} s")
--- a/src/kestreltally/systems/registry.py
+++ b/src/kestreltally/systems/registry.py
@@ -11,34 +11,34 @@
 LOG = logging.getLogger("kestreltally.peers")
 
 Handler = Callable[[World, Any], None]
-Hearer = Callable[[World, VmId, Any], None]
+MessageHandler = Callable[[World, VmId, Any], None]
 Runner = Callable[[World], None]
 R = TypeVar("R", bound=Runner)
 H = TypeVar("H", bound=Callable[..., None])
 
 HANDLERS: Final[dict[type[Any], list[Handler]]] = {}
-HEARERS: Final[dict[type[Any], list[Hearer]]] = {}
+MESSAGE_HANDLERS: Final[dict[type[Any], list[MessageHandler]]] = {}
 PAUSE_HANDLERS: Final[list[Callable[[World, Seconds], None]]] = []
 RUNNERS: Final[list[tuple[int, str, Runner]]] = []
 WAKE_RUNNERS: Final[list[tuple[int, str, Runner]]] = []
 
 
-def handles(happening_type: type[Any]) -> Callable[[H], H]:
+def handles_event(event_type: type[Any]) -> Callable[[H], H]:
     """Register a function for one type of happening."""
 
     def register(handler: H) -> H:
-        HANDLERS.setdefault(happening_type, []).append(handler)
+        HANDLERS.setdefault(event_type, []).append(handler)
         return handler
 
     return register
 
 
-def hears(message_type: type[Any]) -> Callable[[H], H]:
+def handles_message(message_type: type[Any]) -> Callable[[H], H]:
     """Register a function for one type of peer message."""
 
-    def register(hearer: H) -> H:
-        HEARERS.setdefault(message_type, []).append(hearer)
-        return hearer
+    def register(handler: H) -> H:
+        MESSAGE_HANDLERS.setdefault(message_type, []).append(handler)
+        return handler
 
     return register
 
@@ -66,18 +66,18 @@
     return register
 
 
-def _hear(world: World, arrived: MessageArrived) -> None:
+def _handle_message(world: World, arrived: MessageArrived) -> None:
     """Hand a message on; one with values out of their range is left out."""
-    for hearer in HEARERS.get(type(arrived.message), ()):
+    for handler in MESSAGE_HANDLERS.get(type(arrived.message), ()):
         try:
-            hearer(world, arrived.sender, arrived.message)
+            handler(world, arrived.sender, arrived.message)
         except ValueError as error:
             LOG.warning("peers: a message of %s left out: %s", arrived.sender, error)
 
 
-def _handle(world: World, event: OutsideEvent) -> None:
+def _handle_event(world: World, event: OutsideEvent) -> None:
     if isinstance(event, MessageArrived):
-        _hear(world, event)
+        _handle_message(world, event)
         return
     for handler in HANDLERS.get(type(event), ()):
         handler(world, event)
@@ -85,7 +85,7 @@
 
 def _drain_inbox(world: World) -> None:
     while world.inbox:
-        _handle(world, world.inbox.popleft())
+        _handle_event(world, world.inbox.popleft())
 
 
 def run_step(world: World, now: Seconds, woken: bool = False) -> None:
--- a/src/kestreltally/systems/reports.py
+++ b/src/kestreltally/systems/reports.py
@@ -11,15 +11,15 @@
 from kestreltally.entities.permits import LoadState, PermitState
 from kestreltally.orders import FetchReport, ReportFetched
 from kestreltally.systems.leadership import TOKEN_BITS
-from kestreltally.systems.registry import handles, runs_each_tick
+from kestreltally.systems.registry import handles_event, runs_each_tick
 from kestreltally.world import World
 
 PART: Final = "reports"
-SETTLED_AFTER: Final[Seconds] = 0.05
+LOAD_SETTLE_DELAY: Final[Seconds] = 0.05
 
 
 @runs_each_tick(40)
-def ask_reports(world: World) -> None:
+def request_reports(world: World) -> None:
     """Ask each led endpoint for its report when one is due."""
     period = world.settings.timing.report_period
     for led in list(world.leaders.led.values()):
@@ -28,7 +28,7 @@
             world.outbox.append(FetchReport(endpoint=led.endpoint))
 
 
-@handles(ReportFetched)
+@handles_event(ReportFetched)
 def apply_report(world: World, fetched: ReportFetched) -> None:
     """Bring the table of a led endpoint in line with its report."""
     led = world.leaders.led.get(fetched.endpoint)
@@ -41,7 +41,7 @@
         world.update_led(led, phase=Phase.SUSPENDED)
         return
     if led.instance and report.instance != led.instance:
-        led = _forget_instance(world, led)
+        led = _reset_instance(world, led)
     if report.leaving and not led.leaving:
         world.events.add(PART, "says it is leaving", endpoint=led.endpoint)
     led = world.update_led(
@@ -54,7 +54,7 @@
     world.update_led(led, slots=_merge_slots(world, led, report))
 
 
-def _forget_instance(world: World, led: LedEndpoint) -> LedEndpoint:
+def _reset_instance(world: World, led: LedEndpoint) -> LedEndpoint:
     """Start anew with an endpoint that restarted: nothing runs or is loaded there."""
     world.events.add(PART, "restarted with nothing loaded", endpoint=led.endpoint)
     for permit in list(world.permits_of(led.endpoint)):
@@ -101,9 +101,9 @@
     slots = {}
     for adapter, slot in led.slots.items():
         shown = adapter in report.loaded
-        too_old = report.composed_at <= slot.loaded_at + SETTLED_AFTER
+        too_old = report.composed_at <= slot.loaded_at + LOAD_SETTLE_DELAY
         if shown or too_old:
-            slots[adapter] = _look_at_slot(slot, report)
+            slots[adapter] = _clear_doubt(slot, report)
         else:
             world.events.add(
                 PART,
@@ -112,7 +112,7 @@
                 adapter=str(adapter),
             )
     for adapter in report.loaded:
-        if adapter not in slots and adapter not in loading and _is_news(led, report):
+        if adapter not in slots and adapter not in loading and _is_newer(led, report):
             doubtful = adapter in led.unsure
             slots[adapter] = Slot(
                 adapter=adapter,
@@ -123,12 +123,12 @@
     return slots
 
 
-def _is_news(led: LedEndpoint, report: EndpointReport) -> bool:
+def _is_newer(led: LedEndpoint, report: EndpointReport) -> bool:
     """Tell whether a report may add adapters: it was composed under this leader."""
     return report.composed_at > max(led.since, led.changed_at)
 
 
-def _look_at_slot(slot: Slot, report: EndpointReport) -> Slot:
+def _clear_doubt(slot: Slot, report: EndpointReport) -> Slot:
     """Clear the doubt about a slot when a later report shows nothing running."""
     idle = report.running.get(slot.adapter, 0) == 0
     if slot.look_after > 0 and report.composed_at > slot.look_after and idle:
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -19,14 +19,14 @@
 from tests.fleet import MODEL, TOKENS, Fleet, Node, run_virtual
 
 WARM_UP = 3.0
-BUSY_FOR = 9.0
-FAULT_LASTS = 4.5
+BUSY_DURATION = 9.0
+FAULT_DURATION = 4.5
 SETTLE = 14.0
 PROBE_WAIT = 12.0
 ADAPTERS = 9
 DAEMONS = 4
-STOPPED = 2
-KILLED = 1
+STOPPED_DAEMON = 2
+KILLED_DAEMON = 1
 
 
 @dataclass(frozen=True)
@@ -39,7 +39,7 @@
     what: str
     reason: str = ""
 
-    def fits(self, event: Event) -> bool:
+    def matches(self, event: Event) -> bool:
         return (
             event.part == self.part
             and event.what.startswith(self.what)
@@ -78,7 +78,7 @@
 FAULTS: dict[str, Fault] = {}
 
 
-def makes_fault(name: str) -> Callable[[Fault], Fault]:
+def register_fault(name: str) -> Callable[[Fault], Fault]:
     def register(fault: Fault) -> Fault:
         FAULTS[name] = fault
         return fault
@@ -94,39 +94,39 @@
     return node
 
 
-@makes_fault("kill")
+@register_fault("kill")
 async def kill(fleet: Fleet, node: Node, event: Event) -> None:
     await node.kill()
 
 
-@makes_fault("kill leader")
+@register_fault("kill leader")
 async def kill_leader(fleet: Fleet, node: Node, event: Event) -> None:
     await find_leader_node(fleet, node, event).kill()
 
 
-@makes_fault("freeze")
+@register_fault("freeze")
 async def freeze(fleet: Fleet, node: Node, event: Event) -> None:
     node.gate.freeze()
 
 
-@makes_fault("freeze leader")
+@register_fault("freeze leader")
 async def freeze_leader(fleet: Fleet, node: Node, event: Event) -> None:
     find_leader_node(fleet, node, event).gate.freeze()
 
 
-@makes_fault("cut from peers")
-async def cut_both(fleet: Fleet, node: Node, event: Event) -> None:
+@register_fault("cut from peers")
+async def cut_from_peers(fleet: Fleet, node: Node, event: Event) -> None:
     for other in fleet.nodes:
         fleet.faults.cut |= {(node.vm, other.vm), (other.vm, node.vm)}
 
 
-@makes_fault("cut one way")
+@register_fault("cut one way")
 async def cut_one_way(fleet: Fleet, node: Node, event: Event) -> None:
     for other in fleet.nodes:
         fleet.faults.cut.add((node.vm, other.vm))
 
 
-@makes_fault("data centres cut")
+@register_fault("data centres cut")
 async def cut_data_centres(fleet: Fleet, node: Node, event: Event) -> None:
     for one in fleet.nodes:
         for other in fleet.nodes:
@@ -134,87 +134,87 @@
                 fleet.faults.cut.add((one.vm, other.vm))
 
 
-@makes_fault("cut from endpoints")
+@register_fault("cut from endpoints")
 async def cut_endpoints(fleet: Fleet, node: Node, event: Event) -> None:
     fleet.faults.endpoints_cut.add(node.vm)
 
 
-@makes_fault("cut from store")
+@register_fault("cut from store")
 async def cut_store(fleet: Fleet, node: Node, event: Event) -> None:
     fleet.faults.store_cut.add(node.vm)
 
 
-@makes_fault("store down")
+@register_fault("store down")
 async def store_down(fleet: Fleet, node: Node, event: Event) -> None:
     fleet.faults.store_down = True
 
 
-@makes_fault("answers lost")
+@register_fault("answers lost")
 async def lose_answers(fleet: Fleet, node: Node, event: Event) -> None:
     fleet.faults.lose_answers = 1.0
 
 
-@makes_fault("slow")
+@register_fault("slow")
 async def slow(fleet: Fleet, node: Node, event: Event) -> None:
     fleet.faults.slow = 0.15
 
 
-@makes_fault("duplicate and reorder")
+@register_fault("duplicate and reorder")
 async def duplicate(fleet: Fleet, node: Node, event: Event) -> None:
     fleet.faults.duplicate, fleet.faults.reorder = 0.5, 0.5
 
 
-@makes_fault("drop half")
+@register_fault("drop half")
 async def drop(fleet: Fleet, node: Node, event: Event) -> None:
     fleet.faults.drop = 0.5
 
 
-@makes_fault("engines restart")
+@register_fault("engines restart")
 async def restart_engines(fleet: Fleet, node: Node, event: Event) -> None:
     for endpoint in fleet.endpoints.values():
         endpoint.restart()
 
 
-@makes_fault("engines hang")
+@register_fault("engines hang")
 async def hang_engines(fleet: Fleet, node: Node, event: Event) -> None:
     for endpoint in fleet.endpoints.values():
         endpoint.hung = True
 
 
-@makes_fault("streams cut")
+@register_fault("streams cut")
 async def cut_streams(fleet: Fleet, node: Node, event: Event) -> None:
     for endpoint in fleet.endpoints.values():
         endpoint.cut_streams = True
 
 
-@makes_fault("end marks missing")
-async def cut_quietly(fleet: Fleet, node: Node, event: Event) -> None:
+@register_fault("end marks missing")
+async def cut_without_end_mark(fleet: Fleet, node: Node, event: Event) -> None:
     for endpoint in fleet.endpoints.values():
         endpoint.cut_streams = endpoint.no_end_mark = True
 
 
-@makes_fault("loads fail")
+@register_fault("loads fail")
 async def fail_loads(fleet: Fleet, node: Node, event: Event) -> None:
     for endpoint in fleet.endpoints.values():
         endpoint.fail_loads = True
 
 
-@makes_fault("wrong version")
-async def answer_wrongly(fleet: Fleet, node: Node, event: Event) -> None:
+@register_fault("wrong version")
+async def answer_wrong_version(fleet: Fleet, node: Node, event: Event) -> None:
     fleet.endpoints["engine-1"].wrong_version = True
 
 
-@makes_fault("list empty")
+@register_fault("list empty")
 async def hide_vms(fleet: Fleet, node: Node, event: Event) -> None:
     fleet.faults.vms_hidden = {each.vm for each in fleet.nodes}
 
 
-@makes_fault("list wrongly leaving")
+@register_fault("list wrongly leaving")
 async def list_leaving(fleet: Fleet, node: Node, event: Event) -> None:
     fleet.faults.vms_leaving = {node.vm}
 
 
-def join(first: str, second: str) -> Fault:
+def combine(first: str, second: str) -> Fault:
     async def fault(fleet: Fleet, node: Node, event: Event) -> None:
         await FAULTS[first](fleet, node, event)
         await FAULTS[second](fleet, node, event)
@@ -230,7 +230,7 @@
     ("kill leader", "duplicate and reorder"),
     ("store down", "engines restart"),
 ):
-    FAULTS[" + ".join(pair)] = join(*pair)
+    FAULTS[" + ".join(pair)] = combine(*pair)
 
 
 @dataclass(frozen=True)
@@ -270,7 +270,7 @@
         self.cut_off: list[str] = []
 
     def watch(self, node: Node, event: Event) -> None:
-        if self.armed and not self.injected.is_set() and self.step.fits(event):
+        if self.armed and not self.injected.is_set() and self.step.matches(event):
             self.injected.set()
             self.fleet.spawn(FAULTS[self.cell.fault](self.fleet, node, event))
 
@@ -284,8 +284,8 @@
         fleet.spawn(self.send_all())
         await fleet.settle(1.0)
         self.armed = True
-        fleet.spawn(self.play())
-        await fleet.settle(BUSY_FOR)
+        fleet.spawn(self.run_scenario())
+        await fleet.settle(BUSY_DURATION)
         await fleet.heal()
         await fleet.settle(SETTLE)
         probes = await self.probe()
@@ -302,7 +302,7 @@
     async def send_all(self) -> None:
         """Send a mix of requests to all daemons that are up."""
         fleet = self.fleet
-        for number in range(int(BUSY_FOR / 0.1)):
+        for number in range(int(BUSY_DURATION / 0.1)):
             target = number % DAEMONS
             node = fleet.nodes[target]
             if node.is_up and not node.stopping:
@@ -327,11 +327,11 @@
                 other, adapter, repeatable=False, request=request, service=service
             )
 
-    async def play(self) -> None:
+    async def run_scenario(self) -> None:
         """Do what the step's scenario is about, and mend the fault in the end."""
         fleet, scenario = self.fleet, self.step.scenario
         if scenario == "take-over":
-            await fleet.nodes[KILLED].kill()
+            await fleet.nodes[KILLED_DAEMON].kill()
         elif scenario == "planned stop":
             fleet.spawn(self.stop_one())
         elif scenario == "change":
@@ -343,18 +343,18 @@
             now = asyncio.get_running_loop().time()
             fleet.endpoints["engine-2"].start_leaving(now)
         await self.injected.wait()
-        await asyncio.sleep(FAULT_LASTS)
+        await asyncio.sleep(FAULT_DURATION)
         await fleet.heal()
 
     async def stop_one(self) -> None:
         """Stop a daemon as planned; whatever it cuts off is a problem."""
-        node = self.fleet.nodes[STOPPED]
+        node = self.fleet.nodes[STOPPED_DAEMON]
         clean = await node.stop_planned()
         if not clean:
             self.cut_off.append(f"the planned stop of {node.vm} cut requests off")
         await asyncio.sleep(0.5)
-        if self.fleet.nodes[STOPPED] is node:
-            self.fleet.start_node(STOPPED)
+        if self.fleet.nodes[STOPPED_DAEMON] is node:
+            self.fleet.start_node(STOPPED_DAEMON)
 
     async def probe(self) -> list[str]:
         """Send a last request to each daemon, which must be answered."""
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -40,7 +40,7 @@
 
     name: str
     promise: str
-    shows: str
+    expected_problem: str
     apply: Patcher
     cells: tuple[Cell, ...]
 
@@ -48,13 +48,13 @@
 MUTATIONS: list[Mutation] = []
 
 
-def takes_away(
-    name: str, promise: str, shows: str, *cells: Cell
+def register_mutation(
+    name: str, promise: str, expected_problem: str, *cells: Cell
 ) -> Callable[[Patcher], Patcher]:
-    """Register a mutation; ``shows`` is what the problem found must say."""
+    """Register a mutation; ``expected_problem`` is what the problem found must say."""
 
     def register(patcher: Patcher) -> Patcher:
-        MUTATIONS.append(Mutation(name, promise, shows, patcher, cells))
+        MUTATIONS.append(Mutation(name, promise, expected_problem, patcher, cells))
         return patcher
 
     return register
@@ -64,7 +64,7 @@
     stack.enter_context(patch.object(target, name, value))
 
 
-@takes_away(
+@register_mutation(
     "permits ignored when unloading",
     "an adapter in use is never unloaded",
     "unload-only-unused",
@@ -74,7 +74,7 @@
     _replace(stack, loading, "is_in_use", lambda world, led, slot: False)
 
 
-@takes_away(
+@register_mutation(
     "permits and the invariant on them ignored",
     "an adapter in use is never unloaded",
     "unloaded in use",
@@ -100,7 +100,7 @@
     return run
 
 
-@takes_away(
+@register_mutation(
     "a new leader does not wait for the old one's permits",
     "an adapter in use is never unloaded",
     "unloaded in use",
@@ -110,39 +110,41 @@
     Cell("permit granted", "freeze leader", token_time=2.0),
 )
 def skip_waits(stack: ExitStack) -> None:
-    begin = leadership._begin_to_lead
+    start_leading = leadership._start_leading
 
-    def begin_at_once(world: Any, record: Any, claimed_at: float, offer: Any) -> None:
-        begin(world, record, claimed_at, offer)
+    def start_without_waits(
+        world: Any, record: Any, claimed_at: float, offer: Any
+    ) -> None:
+        start_leading(world, record, claimed_at, offer)
         led = world.leaders.led[record.endpoint]
         world.update_led(led, orders_after=0.0, unloads_after=0.0)
 
-    _replace(stack, leadership, "_begin_to_lead", begin_at_once)
+    _replace(stack, leadership, "_start_leading", start_without_waits)
     _replace(
         stack,
         loading,
-        "may_unload",
+        "can_unload",
         lambda world, led, slot: not any(world.permits_of(led.endpoint, slot.adapter)),
     )
 
 
-@takes_away(
+@register_mutation(
     "a held permit never ends at its holder",
     "an adapter in use is never unloaded",
     "unload",
     *(Cell("slot closed", "slow", seed) for seed in range(1, 9)),
 )
 def keep_permits(stack: ExitStack) -> None:
-    def has_room(self: HeldPermit, now: float) -> bool:
+    def has_free_capacity(self: HeldPermit, now: float) -> bool:
         return self.running < self.count
 
-    _replace(stack, HeldPermit, "has_room", has_room)
+    _replace(stack, HeldPermit, "has_free_capacity", has_free_capacity)
     _replace(stack, holding, "return_permits", lambda world: None)
-    kept = [each for each in registry.RUNNERS if "return_permits" not in each[1]]
-    _replace(stack, registry, "RUNNERS", kept)
+    runners = [each for each in registry.RUNNERS if "return_permits" not in each[1]]
+    _replace(stack, registry, "RUNNERS", runners)
 
 
-@takes_away(
+@register_mutation(
     "end mark ignored",
     "each caller gets the whole of its own answer",
     " got ",
@@ -156,7 +158,7 @@
     )
 
 
-@takes_away(
+@register_mutation(
     "claim skipped",
     "a not-repeatable request runs at most once",
     "ran 2 times",
@@ -170,7 +172,7 @@
     _replace(stack, Claims, "claim", claim)
 
 
-@takes_away(
+@register_mutation(
     "a lost answer to a claim taken for a refusal of it",
     "a not-repeatable request runs at most once",
     "ran 2 times",
@@ -184,7 +186,7 @@
     _replace(stack, Claims, "_resolve", resolve)
 
 
-@takes_away(
+@register_mutation(
     "a not-repeatable request tried again",
     "a not-repeatable request runs at most once",
     "not-repeatable-sent-once",
@@ -192,44 +194,44 @@
     Cell("request sent", "engines restart"),
 )
 def retry_all(stack: ExitStack) -> None:
-    judge = RequestServer._judge_failure
+    evaluate = RequestServer._judge_failure
 
-    def judge_as_repeatable(self: Any, request: Any, *rest: Any) -> Any:
-        return judge(self, replace(request, repeatable=True), *rest)
+    def evaluate_as_repeatable(self: Any, request: Any, *rest: Any) -> Any:
+        return evaluate(self, replace(request, repeatable=True), *rest)
 
-    _replace(stack, RequestServer, "_judge_failure", judge_as_repeatable)
+    _replace(stack, RequestServer, "_judge_failure", evaluate_as_repeatable)
 
 
-@takes_away(
+@register_mutation(
     "every refusal told as not run",
     "not run means not run",
     "not-run-means-not-sent",
     Cell("first token", "streams cut"),
 )
-def tell_not_run(stack: ExitStack) -> None:
+def report_not_run(stack: ExitStack) -> None:
     _replace(stack, RequestServer, "_outcome_of", lambda self, way: Outcome.NOT_RUN)
 
 
-@takes_away(
+@register_mutation(
     "a lost attempt taken for one not run",
     "not run means not run",
     "told not_run but ran",
     Cell("first token", "streams cut"),
     Cell("request sent", "engines restart"),
 )
-def forget_lost(stack: ExitStack) -> None:
+def treat_lost_as_not_run(stack: ExitStack) -> None:
     relay = RequestServer._start_and_relay
 
-    async def take_lost_for_not_run(*rest: Any) -> AttemptResult:
+    async def relay_lost_as_not_run(*rest: Any) -> AttemptResult:
         result = await relay(*rest)
         if result.end is AttemptEnd.LOST:
             return replace(result, end=AttemptEnd.NOT_RUN)
         return result
 
-    _replace(stack, RequestServer, "_start_and_relay", take_lost_for_not_run)
+    _replace(stack, RequestServer, "_start_and_relay", relay_lost_as_not_run)
 
 
-@takes_away(
+@register_mutation(
     "answers' names not looked at",
     "the right adapter and version",
     " got ",
@@ -248,7 +250,7 @@
     _replace(stack, RequestServer, "_relay", relay_as_named)
 
 
-@takes_away(
+@register_mutation(
     "older revisions accepted",
     "an accepted configuration never reverts",
     "revision-never-reverts",
@@ -260,18 +262,18 @@
 
     def apply_any(world: Any, arrived: Any) -> bool:
         before = world.config.revision
-        rose = apply(world, arrived)
+        increased = apply(world, arrived)
         if arrived.revision < before:
             world.config.revision = arrived.revision
             world.invariants.require(
                 configuration.REVISION_NEVER_REVERTS, False, "went back"
             )
-        return rose
+        return increased
 
     _replace(stack, configuration, "apply_changes", apply_any)
 
 
-@takes_away(
+@register_mutation(
     "changes neither pulled nor watched again",
     "an accepted configuration is in force everywhere",
     "is not at revision",
@@ -279,16 +281,16 @@
     Cell("change in force first", "drop half"),
     Cell("change in force first", "cut from peers"),
 )
-def never_pull(stack: ExitStack) -> None:
-    _replace(stack, configuration, "note_peer_revision", lambda *_: None)
-    kept = [each for each in registry.RUNNERS if "pull_missing" not in each[1]]
-    _replace(stack, registry, "RUNNERS", kept)
+def disable_pull(stack: ExitStack) -> None:
+    _replace(stack, configuration, "record_peer_revision", lambda *_: None)
+    runners = [each for each in registry.RUNNERS if "pull_missing" not in each[1]]
+    _replace(stack, registry, "RUNNERS", runners)
     handlers = {**registry.HANDLERS}
     handlers[configuration.ConfigArrived] = [_apply_first]
     _replace(stack, registry, "HANDLERS", handlers)
-    hearers = {**registry.HEARERS}
-    hearers[configuration.PushChanges] = []
-    _replace(stack, registry, "HEARERS", hearers)
+    message_handlers = {**registry.MESSAGE_HANDLERS}
+    message_handlers[configuration.PushChanges] = []
+    _replace(stack, registry, "MESSAGE_HANDLERS", message_handlers)
 
 
 def _apply_first(world: Any, arrived: Any) -> None:
@@ -296,19 +298,19 @@
         configuration.apply_changes(world, arrived)
 
 
-@takes_away(
+@register_mutation(
     "leaving endpoints used on",
     "a leaving endpoint gets no new work within seconds",
     "while leaving",
     Cell("endpoint leaves", "slow"),
     Cell("endpoint leaves", "store down"),
 )
-def use_leaving(stack: ExitStack) -> None:
+def ignore_leaving(stack: ExitStack) -> None:
     _replace(stack, granting, "is_endpoint_leaving", lambda world, spec: False)
     _replace(stack, loading, "is_endpoint_leaving", lambda world, spec: False)
 
 
-@takes_away(
+@register_mutation(
     "planned stop does not wait",
     "a planned stop cuts nothing off",
     "cut requests off",
@@ -334,7 +336,7 @@
                 mutation.apply(stack)
                 result = run_cell(cell)
             for problem in result.problems:
-                if mutation.shows in problem:
+                if mutation.expected_problem in problem:
                     return f"{cell.step} / {cell.fault}", problem
         return "", ""
     finally:
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -5,7 +5,7 @@
 from kestreltally.entities.ids import AttemptId, EndpointId, PermitId, VmId
 from kestreltally.entities.permits import HeldPermit
 from kestreltally.orders import EndpointFailed, EndpointServed, PermitUsed, UseEnd
-from kestreltally.systems.availability import is_open_for_work, note_probe
+from kestreltally.systems.availability import is_available, start_probe
 from kestreltally.systems.registry import run_step
 from kestreltally.world import World
 
@@ -22,29 +22,29 @@
     return world
 
 
-def test_failures_open_it_and_time_half_opens_it() -> None:
+def test_failures_open_the_breaker_and_time_half_opens_it() -> None:
     world = make_world(failures=2)
-    assert is_open_for_work(world, ENGINE)
+    assert is_available(world, ENGINE)
     world = make_world(failures=3)
-    assert not is_open_for_work(world, ENGINE)
+    assert not is_available(world, ENGINE)
     world.now += world.settings.limits.breaker_open
-    assert is_open_for_work(world, ENGINE)
-    note_probe(world, ENGINE)
-    assert not is_open_for_work(world, ENGINE)
+    assert is_available(world, ENGINE)
+    start_probe(world, ENGINE)
+    assert not is_available(world, ENGINE)
 
 
-def test_a_success_closes_it() -> None:
+def test_a_success_closes_the_breaker() -> None:
     world = make_world(failures=3)
     world.inbox.append(EndpointServed(ENGINE, took=0.1))
     run_step(world, world.now)
-    assert is_open_for_work(world, ENGINE)
+    assert is_available(world, ENGINE)
 
 
-def test_a_probe_that_tells_nothing_makes_way_for_the_next() -> None:
+def test_an_inconclusive_probe_allows_the_next() -> None:
     """A probe may be refused before it runs, or its caller may hang up."""
     world = make_world(failures=3)
     world.now += world.settings.limits.breaker_open
-    note_probe(world, ENGINE)
+    start_probe(world, ENGINE)
     world.entry.held[PERMIT] = HeldPermit(
         permit=PERMIT,
         endpoint=ENGINE,
@@ -60,4 +60,4 @@
     assert world.entry.breakers[ENGINE] == Breaker(
         failures=3, open_until=world.entry.breakers[ENGINE].open_until
     )
-    assert is_open_for_work(world, ENGINE)
+    assert is_available(world, ENGINE)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -47,7 +47,7 @@
     assert waited < 4.0 and fleet.list_problems() == []
 
 
-async def be_born_in_an_outage() -> tuple[Fleet, bool]:
+async def start_in_an_outage() -> tuple[Fleet, bool]:
     fleet = Fleet()
     await fleet.start()
     await fleet.settle(4.0)
@@ -59,16 +59,16 @@
     refused = fleet.send(2, "a1", repeatable=False)
     await fleet.settle(6.0)
     await fleet.close()
-    told = refused.refusal is not None and refused.refusal.retry_after > 0
-    return fleet, served.done and told
+    has_retry_after = refused.refusal is not None and refused.refusal.retry_after > 0
+    return fleet, served.done and has_retry_after
 
 
-def test_a_daemon_born_in_an_outage_serves_from_what_its_peers_tell() -> None:
-    fleet, served = run_virtual(be_born_in_an_outage())
+def test_a_daemon_started_in_an_outage_serves_its_peers_configuration() -> None:
+    fleet, served = run_virtual(start_in_an_outage())
     assert served and fleet.list_problems() == []
 
 
-async def outlive_an_outage() -> tuple[Fleet, int, int]:
+async def survive_an_outage() -> tuple[Fleet, int, int]:
     """Let the object API be down for ten minutes, then come back to all."""
     fleet = Fleet(daemons=6)
     await fleet.start()
@@ -85,7 +85,7 @@
     return fleet, sum(sent.done for sent in served), calls
 
 
-def test_the_object_api_comes_back_to_few_calls() -> None:
-    fleet, done, calls = run_virtual(outlive_an_outage())
+def test_a_restored_object_api_gets_few_calls() -> None:
+    fleet, done, calls = run_virtual(survive_an_outage())
     assert done == 6 and fleet.list_problems() == []
     assert calls < 6 * 2 * 5
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -3,7 +3,7 @@
 from tests.fleet import Fleet, run_virtual
 
 
-async def cut_one_off(seconds: float) -> tuple[Fleet, int, int, int]:
+async def isolate_one(seconds: float) -> tuple[Fleet, int, int, int]:
     """Cut one daemon from all others, but not from the object API or endpoints."""
     fleet = Fleet()
     await fleet.start()
@@ -33,7 +33,7 @@
 
 
 def test_a_cut_off_daemon_does_not_keep_taking_endpoints() -> None:
-    fleet, changes, done, sent = run_virtual(cut_one_off(60.0))
+    fleet, changes, done, sent = run_virtual(isolate_one(60.0))
     assert fleet.list_problems() == []
     assert changes <= 16
     assert done >= 0.97 * sent
