--- a/src/kestreltally/systems/__init__.py
+++ b/src/kestreltally/systems/__init__.py
@@ -1,1 +1,1 @@
-"""Systems of the product's own way: decisions over a daemon's tables, each tick."""
+"""Systems: functions that read and update a daemon's tables on each tick."""
--- a/src/kestreltally/systems/availability.py
+++ b/src/kestreltally/systems/availability.py
@@ -1,4 +1,4 @@
-"""Which endpoints may get new work: circuit breakers, leaving, failures seen."""
+"""Availability of endpoints for new work: circuit breakers, leaving, failures."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -28,7 +28,7 @@
 
 
 def is_available(world: World, endpoint: EndpointId) -> bool:
-    """Tell whether an endpoint may get new work, by all that is known here."""
+    """Return whether an endpoint can get new work, according to local state."""
     spec = world.config.endpoints.get(endpoint)
     if spec is None or spec.draining:
         return False
@@ -43,7 +43,7 @@
 
 
 def start_probe(world: World, endpoint: EndpointId) -> None:
-    """Let one request alone try an endpoint whose breaker has just half opened."""
+    """Let a single request probe an endpoint whose breaker is half-open."""
     breaker = world.entry.breakers.get(endpoint)
     if breaker is None:
         return
@@ -52,10 +52,10 @@
 
 
 def end_probe(world: World, endpoint: EndpointId) -> None:
-    """Let another request try, whatever came of the one that did.
+    """Allow another probe, whatever the outcome of the last one.
 
-    A probe that was refused before it ran, or whose caller hung up, tells neither
-    success nor failure; without this the breaker would stay shut for ever.
+    A probe that was refused before it ran, or whose caller disconnected, reports
+    neither success nor failure; without this the breaker would stay open forever.
     """
     breaker = world.entry.breakers.get(endpoint)
     if breaker is not None and breaker.probing:
@@ -64,7 +64,7 @@
 
 @handles_event(EndpointServed)
 def record_success(world: World, served: EndpointServed) -> None:
-    """Close the breaker of an endpoint that served well."""
+    """Close the breaker of an endpoint that served; update its service time."""
     world.entry.breakers.pop(served.endpoint, None)
     led = world.leaders.led.get(served.endpoint)
     if led is not None:
@@ -75,7 +75,7 @@
 
 
 def _retire_permits(world: World, failed: EndpointFailed) -> None:
-    """Use no permit again that the endpoint has just shown to be worthless."""
+    """Return the permits and clear the view that a failure has invalidated."""
     for held in list(world.entry.held.values()):
         same = held.endpoint == failed.endpoint and held.adapter == failed.adapter
         if same and not held.returned:
@@ -88,7 +88,7 @@
 
 @handles_event(EndpointFailed)
 def record_failure(world: World, failed: EndpointFailed) -> None:
-    """Count a failure for the breaker, and tell the leader what was seen."""
+    """Count a failure for the breaker, and report the fault to the leader."""
     limits = world.settings.limits
     if failed.counts:
         breaker = world.entry.breakers.get(failed.endpoint, Breaker())
@@ -123,7 +123,7 @@
     model: str,
     adapter: AdapterVersion,
 ) -> tuple[EndpointId, ...]:
-    """Return the endpoints that run a base model and can serve an adapter of it."""
+    """Return the endpoints that run a base model and can serve one of its adapters."""
     found: Iterable[EndpointId] = world.config.endpoints_of_model.get(model, {})
     if adapter == SERVICE:
         return tuple(found)
--- a/src/kestreltally/systems/budget.py
+++ b/src/kestreltally/systems/budget.py
@@ -1,7 +1,7 @@
-"""The load budget of the weight store: one daemon gives leave for loads.
+"""The load budget of the weight store: one daemon grants loads.
 
-Being over the budget only makes loads slow, so no lease guards this duty: two
-daemons may hold it for a moment while their views differ.
+Exceeding the budget only slows loads down, so this duty is not protected by a lease:
+two daemons may perform it for a moment while their views of the membership differ.
 """
 
 from dataclasses import replace
@@ -21,14 +21,14 @@
 
 
 def find_budget_leader(world: World) -> VmId | None:
-    """Return the daemon that gives leave for loads, by this daemon's view."""
+    """Return the daemon that grants loads, according to local membership."""
     owner = choose_owner(BUDGET_DUTY, list_eligible(world))
     return VmId(owner) if owner is not None else None
 
 
 @handles_message(AskLoad)
 def receive_load_ask(world: World, sender: VmId, asked: AskLoad) -> None:
-    """Queue a load; one that was granted is told so again."""
+    """Queue a load; repeat the grant of one that was granted already."""
     known = world.budget.asks.get(asked.load)
     if known is not None and known.granted_at is not None:
         world.send(sender, GrantLoad(load=asked.load))
@@ -43,7 +43,7 @@
 
 @handles_message(EndLoad)
 def end_load(world: World, sender: VmId, ended: EndLoad) -> None:
-    """Free the place of a load that is over."""
+    """Release the budget of a load that has ended."""
     world.budget.asks.pop(ended.load, None)
 
 
@@ -57,7 +57,7 @@
 
 @runs_each_tick(80, on_wake=True)
 def grant_loads(world: World) -> None:
-    """Give leave within rate and parallelism, most urgent first."""
+    """Grant loads within the rate and concurrency limits, most urgent first."""
     if not world.budget.asks:
         return
     _refill_tokens(world)
--- a/src/kestreltally/systems/catalog.py
+++ b/src/kestreltally/systems/catalog.py
@@ -1,4 +1,4 @@
-"""Import each system once, so that the registries are filled."""
+"""Imports each system once, so that it registers its handlers."""
 
 from kestreltally.policies import placement
 from kestreltally.systems import (
--- a/src/kestreltally/systems/configuration.py
+++ b/src/kestreltally/systems/configuration.py
@@ -1,8 +1,8 @@
-"""The configuration in force: revisions, where they come from, how fresh they are.
+"""The configuration in force: its revision, its distribution and its freshness.
 
-A few daemons in each data centre watch the object API and push what changes to
-the others there. Heartbeats carry the revision, so a daemon that missed a push,
-or was born during an outage of the object API, pulls from a peer.
+A few daemons in each data centre watch the object API and push changes to the other
+daemons of the data centre. Heartbeats carry the revision, so a daemon that missed a
+push, or was started during an outage of the object API, pulls from a peer.
 """
 
 import json
@@ -48,14 +48,15 @@
 
 
 def get_unconfirmed_time(world: World) -> Seconds:
-    """Return for how many seconds the revision has not been confirmed."""
+    """Return the time since the revision was last confirmed, in seconds."""
     return min(world.now - world.config.confirmed_at, MAX_UNCONFIRMED)
 
 
 def is_watcher(world: World) -> bool:
-    """Tell whether this daemon watches the configuration for its data centre.
+    """Return whether this daemon watches the configuration for its data centre.
 
-    A daemon that hears nothing fresh from others watches for itself.
+    A daemon whose peers have not confirmed its revision for SELF_WATCH_DELAY also
+    watches.
     """
     if get_unconfirmed_time(world) > SELF_WATCH_DELAY:
         return True
@@ -70,7 +71,7 @@
 
 
 def _index_object(table: ConfigTable, key: str, before: ConfigObject | None) -> None:
-    """Bring the indexes up to date with the object under ``key``."""
+    """Update the indexes with the object stored under ``key``."""
     if before is not None:
         _drop_from_indexes(table, before)
     value = table.objects[key].value
@@ -123,9 +124,9 @@
 
 
 def apply_changes(world: World, arrived: ConfigArrived) -> bool:
-    """Take changes in; return whether the revision rose.
+    """Apply changes; return whether the revision increased.
 
-    Older changes than those in force are left alone, whatever their source.
+    Changes older than those in force are ignored, whatever their source.
     """
     table = world.config
     if arrived.revision < table.revision:
@@ -152,7 +153,7 @@
 
 @handles_event(ConfigArrived)
 def apply_arrived_changes(world: World, arrived: ConfigArrived) -> None:
-    """Take in what the watch brought, and push it to the data centre."""
+    """Apply changes from the watch, and push them to the daemons of the data centre."""
     before = world.config.revision
     if not apply_changes(world, arrived):
         return
@@ -172,7 +173,7 @@
 
 
 def list_changes_after(world: World, after: Revision) -> PushChanges:
-    """Return the message that brings a peer from ``after`` to this revision."""
+    """Return the message that updates a peer from ``after`` to the current revision."""
     table = world.config
     whole = after < table.recent_after
     source: Iterable[ConfigObject]
@@ -191,14 +192,14 @@
 
 @handles_message(PushChanges)
 def receive_changes(world: World, sender: VmId, pushed: PushChanges) -> None:
-    """Take in what a peer pushed; pull when something before it is missing."""
+    """Apply changes that a peer pushed; schedule a pull if earlier ones are missing."""
     objects = []
     for change in pushed.changes:
         try:
             plain = json.loads(change.value)
             objects.append(read_config_object(change.key, plain, change.revision))
         except (ValueError, MalformedObject) as error:
-            world.events.add(PART, "a change was left out", reason=str(error))
+            world.events.add(PART, "discards a malformed change", reason=str(error))
     arrived = ConfigArrived(
         after=pushed.after,
         revision=pushed.revision,
@@ -212,7 +213,7 @@
 
 @handles_message(PullChanges)
 def answer_pull(world: World, sender: VmId, pull: PullChanges) -> None:
-    """Send a peer what it misses."""
+    """Send a peer the changes that it lacks."""
     if world.config.revision > pull.after:
         world.send(sender, list_changes_after(world, pull.after))
 
@@ -223,7 +224,7 @@
     revision: Revision,
     unconfirmed_for: Seconds,
 ) -> None:
-    """Compare a peer's revision with the own one; plan a pull when it is newer."""
+    """Compare a peer's revision with the local one; schedule a pull if it is newer."""
     table = world.config
     if revision > table.revision:
         table.pull_from = peer
@@ -233,7 +234,7 @@
 
 @runs_each_tick(20)
 def pull_missing(world: World) -> None:
-    """Pull from the peer that was heard to know more."""
+    """Pull changes from a peer that has a newer revision."""
     table = world.config
     if table.pull_from is None or world.now - table.pulled_at < PULL_RETRY_INTERVAL:
         return
@@ -244,7 +245,7 @@
 
 @handles_pause
 def reset_confirmation(world: World, paused_for: Seconds) -> None:
-    """After a pause nothing confirms the revision until it is heard again."""
+    """Treat the revision as unconfirmed since before the pause."""
     world.config.confirmed_at = min(world.config.confirmed_at, world.now - paused_for)
 
 
--- a/src/kestreltally/systems/demand.py
+++ b/src/kestreltally/systems/demand.py
@@ -1,4 +1,4 @@
-"""How much each adapter is asked for at each endpoint, with decay."""
+"""Demand for each adapter at each endpoint, with exponential decay."""
 
 from typing import Final
 
@@ -17,13 +17,13 @@
 def measure_demand(
     world: World, endpoint: EndpointId, adapter: AdapterVersion
 ) -> float:
-    """Return the asks of late, each counting half after one half-life."""
+    """Return the decayed count of asks; an ask counts half after one half-life."""
     value, at = world.book.demand.get((endpoint, adapter), (0.0, world.now))
     return _decay(value, world.now - at, world.settings.placement.demand_half_life)
 
 
 def record_demand(world: World, endpoint: EndpointId, adapter: AdapterVersion) -> None:
-    """Count one ask; forget the least asked for when the table is full."""
+    """Count one ask; remove the entries with the least demand if the table is full."""
     value = measure_demand(world, endpoint, adapter) + 1.0
     world.book.demand[(endpoint, adapter)] = (value, world.now)
     if len(world.book.demand) > MAX_ENTRIES:
--- a/src/kestreltally/systems/granting.py
+++ b/src/kestreltally/systems/granting.py
@@ -1,6 +1,7 @@
-"""The leader's side of permits: who may run what at an endpoint, and when.
+"""The leader's side of permits: which requests may run at an endpoint, and when.
 
-No permit, no request; and nothing is unloaded while a permit for it may be used.
+No request is sent without a permit, and an adapter is not unloaded while a permit
+for it may still be used.
 """
 
 from collections import Counter
@@ -69,7 +70,7 @@
 
 
 def is_endpoint_leaving(world: World, spec: Endpoint) -> bool:
-    """Tell whether configuration, VM list or report says that it is leaving."""
+    """Return whether configuration, VM list or report marks the endpoint as leaving."""
     if spec.draining or (spec.vm and is_listed_leaving(world, VmId(spec.vm))):
         return True
     led = world.leaders.led.get(EndpointId(spec.name))
@@ -77,12 +78,12 @@
 
 
 def count_occupied(world: World, endpoint: EndpointId) -> int:
-    """Return how many places of the batch are promised or in use."""
+    """Return how many places in the batch are granted or in use."""
     return sum(permit.occupies() for permit in world.permits_of(endpoint))
 
 
 def count_asks(world: World, endpoint: EndpointId) -> int:
-    """Return how many asks wait at an endpoint."""
+    """Return the number of asks queued at an endpoint."""
     return sum(1 for ask in world.book.asks.values() if ask.endpoint == endpoint)
 
 
@@ -98,7 +99,7 @@
 
 
 def is_usable(led: LedEndpoint, adapter: AdapterVersion) -> bool:
-    """Tell whether requests of an adapter may be granted here now."""
+    """Return whether permits for an adapter can be granted at an endpoint now."""
     if adapter == SERVICE:
         return True
     slot = led.slots.get(adapter)
@@ -106,7 +107,7 @@
 
 
 def estimate_wait(world: World, led: LedEndpoint, ask: Ask) -> Seconds:
-    """Return how long an ask will probably wait, in seconds."""
+    """Return the estimated wait of an ask, in seconds."""
     spec = world.config.endpoints[led.endpoint]
     ahead = sum(
         1
@@ -149,7 +150,7 @@
 
 @handles_message(AskPermit)
 def receive_ask(world: World, sender: VmId, asked: AskPermit) -> None:
-    """Queue an ask, or refuse it at once; an ask that comes again is refreshed."""
+    """Queue an ask or refuse it immediately; refresh an ask that is repeated."""
     endpoint = EndpointId(asked.endpoint)
     led = world.leaders.led.get(endpoint)
     spec = world.config.endpoints.get(endpoint)
@@ -208,7 +209,7 @@
 
 
 def get_free_capacity(world: World, led: LedEndpoint) -> int:
-    """Return how many more requests may be granted at an endpoint."""
+    """Return how many more requests can be granted at an endpoint."""
     spec = world.config.endpoints[led.endpoint]
     places = int(spec.batch_limit * world.settings.placement.batch_fill)
     return places - count_occupied(world, led.endpoint)
@@ -216,13 +217,13 @@
 
 @handles_message(WithdrawAsk)
 def remove_ask(world: World, sender: VmId, withdrawn: WithdrawAsk) -> None:
-    """Forget an ask that is no longer wanted."""
+    """Remove an ask that its entry daemon has withdrawn."""
     world.book.asks.pop(AskId(withdrawn.ask), None)
 
 
 @runs_each_tick(60)
 def prune_stale_asks(world: World) -> None:
-    """Forget asks that their entry daemon no longer refreshes."""
+    """Remove asks that are past their deadline or no longer refreshed."""
     timeout = world.settings.timing.ask_refresh * MAX_MISSED_REFRESHES
     for ask in list(world.book.asks.values()):
         if world.now - ask.refreshed_at > timeout or world.now >= ask.deadline_at:
@@ -231,7 +232,10 @@
 
 @runs_each_tick(61)
 def expire_permits(world: World) -> None:
-    """Count permits that ran out unreturned as in use until a report shows more."""
+    """Expire permits that ran out unreturned or whose holder is unreachable.
+
+    An expired permit counts as in use until a later report covers it.
+    """
     for permit in list(world.book.permits.values()):
         ran_out = permit.state is PermitState.OPEN and world.now > permit.expires_at
         orphaned = permit.state is PermitState.RETURNED and not is_reachable(
@@ -254,10 +258,10 @@
 
 
 def _sort_asks(world: World, endpoint: EndpointId) -> list[Ask]:
-    """Return the asks in the order in which they are served.
+    """Return the asks of an endpoint in the order in which they are served.
 
-    Within a priority the adapter with the least running goes first, so that one
-    adapter cannot starve the others; then the longest wait.
+    Within a priority, the adapter with the fewest running requests goes first, so
+    that one adapter cannot starve the others; ties go to the longest wait.
     """
     in_use: Counter[AdapterVersion] = Counter()
     for permit in world.permits_of(endpoint):
@@ -274,7 +278,7 @@
 
 @runs_each_tick(62, on_wake=True)
 def grant_permits(world: World) -> None:
-    """Grant what has room, by priority and fair share."""
+    """Grant asks while the batch has free capacity, by priority and fair share."""
     waiting = {ask.endpoint for ask in world.book.asks.values()}
     for endpoint in sorted(waiting):
         led = world.leaders.led.get(endpoint)
@@ -307,7 +311,10 @@
 
 
 def _grant(world: World, led: LedEndpoint, ask: Ask, free: int) -> int:
-    """Grant an ask, with spare places while there are many; return the places."""
+    """Grant an ask and return how many places the permit takes.
+
+    A permit includes extra places if no other ask waits and capacity is ample.
+    """
     spec = world.config.endpoints[led.endpoint]
     world.invariants.require(
         GRANT_ONLY_AS_LEADER,
@@ -378,7 +385,7 @@
 
 
 def _choose_views(world: World, led: LedEndpoint, holder: VmId) -> list[View]:
-    """Return the endpoint's view, unless the holder was told it just now."""
+    """Return the endpoint's view, unless the holder received it very recently."""
     key = (holder, led.endpoint)
     if world.now - world.book.views_reported.get(key, NEVER) < VIEW_RESEND_INTERVAL:
         return []
@@ -388,9 +395,9 @@
 
 @handles_message(ReturnPermit)
 def receive_return(world: World, sender: VmId, returned: ReturnPermit) -> None:
-    """Note what the holder of a permit still runs; close it at nothing.
+    """Record how many requests a returned permit still runs; close it at zero.
 
-    A leader that is handing over leaves the answer to the next one.
+    A leader that is handing over leaves the reply to the next leader.
     """
     led = world.leaders.led.get(EndpointId(returned.endpoint))
     if led is None or led.phase is Phase.HANDING_OVER:
@@ -414,7 +421,7 @@
 
 @handles_message(EndpointFault)
 def receive_fault(world: World, sender: VmId, fault: EndpointFault) -> None:
-    """Look again at an endpoint that an entry daemon saw fail."""
+    """Request a new report from an endpoint that an entry daemon saw fail."""
     led = world.leaders.led.get(EndpointId(fault.endpoint))
     if led is None:
         return
@@ -440,11 +447,11 @@
 
 
 def _remove_slot(world: World, led: LedEndpoint, adapter: AdapterVersion) -> None:
-    """Believe an endpoint that says it does not hold an adapter."""
+    """Remove a slot whose adapter the endpoint reports as not loaded."""
     world.drop_slot(led, adapter)
     world.events.add(
         PART,
-        "forgets a slot",
+        "removes a slot",
         reason="the endpoint does not hold it",
         endpoint=led.endpoint,
         adapter=str(adapter),
--- a/src/kestreltally/systems/holding.py
+++ b/src/kestreltally/systems/holding.py
@@ -1,4 +1,4 @@
-"""The entry daemon's side of permits: asking, holding, using, returning."""
+"""The entry daemon's side of permits: requesting, holding, using and returning them."""
 
 from dataclasses import replace
 from typing import Final
@@ -68,13 +68,13 @@
 
 @handles_event(WantAdded)
 def add_want(world: World, added: WantAdded) -> None:
-    """Take in a request that waits."""
+    """Add a waiting request."""
     world.entry.wants[added.want.want] = added.want
 
 
 @handles_event(WantDropped)
 def drop_want(world: World, dropped: WantDropped) -> None:
-    """Forget a request that no longer waits."""
+    """Remove a request that no longer waits, and withdraw its ask."""
     want = world.entry.wants.pop(dropped.want, None)
     if want is not None:
         _withdraw(world, want)
@@ -89,7 +89,7 @@
 
 
 def _make_candidates(world: World, want: Want) -> list[Candidate]:
-    """Return the endpoints at which a request could run now, as they are seen."""
+    """Return the endpoints at which a request could run now, with their last views."""
     ranked = rank_owners(str(want.adapter), want.candidates)
     candidates = []
     for rank, name in enumerate(ranked):
@@ -127,7 +127,7 @@
 
 
 def _sort_wants(world: World) -> list[Want]:
-    """Return the waiting requests: by priority, then the longest wait."""
+    """Return the waiting requests by priority, then by longest wait."""
     return sorted(
         world.entry.wants.values(),
         key=lambda want: (want.priority, want.since, want.want),
@@ -136,7 +136,7 @@
 
 @runs_each_tick(50, on_wake=True)
 def serve_wants(world: World) -> None:
-    """Give waiting requests a held permit, ask for one, or refuse them."""
+    """Start waiting requests under held permits, ask for permits, or refuse them."""
     for want in _sort_wants(world):
         if world.now >= want.deadline_at:
             _refuse_want(world, want, RefusalReason.DEADLINE, REFUSAL_RETRY_DELAY)
@@ -145,7 +145,7 @@
 
 
 def _use_held(world: World, want: Want) -> bool:
-    """Start a request under a permit that is held already, if there is room."""
+    """Start a request under a permit already held, if one has free capacity."""
     for held in world.entry.held.values():
         matches = held.adapter == want.adapter and held.endpoint in want.candidates
         if (
@@ -246,7 +246,11 @@
 
 
 def _refuse_if_unservable(world: World, want: Want) -> None:
-    """Refuse at once what no endpoint can take before the patience is over."""
+    """Refuse a request that no endpoint can serve.
+
+    That is so if no candidate is available, if all are to be avoided, or if the
+    request has waited for longer than the configured limit.
+    """
     available = [each for each in want.candidates if is_available(world, each)]
     avoided = all(each in want.avoid for each in want.candidates)
     timed_out = world.now - want.since > world.settings.timing.patience
@@ -294,7 +298,7 @@
 
 @handles_message(GrantPermit)
 def receive_grant(world: World, sender: VmId, grant: GrantPermit) -> None:
-    """Hold a permit that was asked for; return one that nobody waits for."""
+    """Store a granted permit; return one that has expired or that no request awaits."""
     for view in grant.views:
         _store_view(world, view)
     if PermitId(grant.ask) in world.entry.held:
@@ -332,7 +336,11 @@
 
 @handles_message(AskQueued)
 def receive_queued(world: World, sender: VmId, queued: AskQueued) -> None:
-    """Note that the ask waits; go elsewhere or give up if it waits too long."""
+    """Record that the ask is queued.
+
+    If the expected wait exceeds the deadline, avoid this endpoint; refuse the
+    request if no other candidate remains.
+    """
     _store_view(world, queued.view)
     want = _find_want(world, queued.ask)
     if want is None:
@@ -358,7 +366,7 @@
 
 @handles_message(RefusePermit)
 def receive_refusal(world: World, sender: VmId, refusal: RefusePermit) -> None:
-    """Follow the hint of a refusal, or ask for another endpoint."""
+    """Follow the leader hint of a refusal, or choose another endpoint."""
     endpoint = EndpointId(refusal.endpoint)
     if refusal.reason == LEAVING:
         world.entry.leaving[endpoint] = world.now + LEAVING_DURATION
@@ -385,7 +393,7 @@
 
 @handles_event(PermitUsed)
 def end_use(world: World, used: PermitUsed) -> None:
-    """Take a request's place back."""
+    """Release the place that a finished request used."""
     held = world.entry.held.get(used.permit)
     if held is None:
         return
@@ -403,7 +411,10 @@
 
 @runs_each_tick(51)
 def return_permits(world: World) -> None:
-    """Return what has run out, lies idle or is in doubt; tell until it is heard."""
+    """Return permits that are expired, idle, uncertain or for unavailable endpoints.
+
+    The return is repeated until the leader acknowledges it.
+    """
     timing = world.settings.timing
     for held in list(world.entry.held.values()):
         idle = held.running == 0 and world.now - held.idle_since > timing.permit_idle
@@ -435,7 +446,7 @@
 
 @handles_message(PermitClosed)
 def remove_permit(world: World, sender: VmId, closed: PermitClosed) -> None:
-    """Forget a permit whose end the leader has noted."""
+    """Remove a permit that the leader has recorded as closed."""
     held = world.entry.held.get(PermitId(closed.permit))
     if held is not None and held.running == 0 and held.returned:
         del world.entry.held[held.permit]
--- a/src/kestreltally/systems/leadership.py
+++ b/src/kestreltally/systems/leadership.py
@@ -1,8 +1,8 @@
-"""Who leads an endpoint: claims, confirmation, handover, self-demotion.
+"""Leadership of endpoints: claims, confirmation, handover and self-demotion.
 
-The object API holds (leader, epoch) and is written only when the leader changes.
-A leader acts only while contact with most of the daemons it tries, or the object
-itself, has confirmed within one lease that nobody has taken over.
+The object API stores (leader, epoch) and is written only when the leader changes.
+A leader acts only while it has been confirmed within one lease that no other daemon
+has taken over, by contact with most of the daemons it pings or by the stored record.
 """
 
 from dataclasses import replace
@@ -65,10 +65,10 @@
 
 
 def make_token(world: World, led: LedEndpoint) -> int:
-    """Return the fence token of the next order: it rises with each order.
+    """Return the fence token of the next order; tokens increase with each order.
 
-    The epoch stands in the high bits, so that every token of a new leader is
-    above all of the earlier ones, and an order that comes late is refused.
+    The epoch occupies the high bits, so that every token of a new leader exceeds
+    all tokens of earlier leaders, and late orders of those are refused.
     """
     sequence = world.leaders.sequences.get(led.endpoint, 0) + 1
     world.leaders.sequences[led.endpoint] = sequence
@@ -76,22 +76,22 @@
 
 
 def is_confirmed(world: World, led: LedEndpoint) -> bool:
-    """Tell whether the leadership was confirmed within one lease."""
+    """Return whether the leadership was confirmed within one lease."""
     return _get_unconfirmed_time(world, led) <= world.settings.timing.lease
 
 
 def _get_unconfirmed_time(world: World, led: LedEndpoint) -> Seconds:
-    """Return how long ago object or daemons last confirmed the leadership."""
+    """Return the time since the object API or the daemons confirmed the leadership."""
     return world.now - max(led.confirmed_at, world.members.confirmed_at)
 
 
 def can_act(world: World, led: LedEndpoint) -> bool:
-    """Tell whether the leader may grant and order at this moment."""
+    """Return whether the leader can grant permits and give orders now."""
     return led.phase is Phase.FENCED and is_confirmed(world, led)
 
 
 def find_owner(world: World, endpoint: EndpointId) -> VmId | None:
-    """Return the daemon that should lead an endpoint, by this daemon's view."""
+    """Return the daemon that should lead an endpoint, according to local membership."""
     _refresh_owners(world)
     owners = world.leaders.owners
     if endpoint not in owners:
@@ -103,7 +103,7 @@
 
 
 def _choose_owner(world: World, endpoint: EndpointId, data_centre: str) -> VmId | None:
-    """Return the owner among the daemons near an endpoint, or among all."""
+    """Choose the owner among the daemons of a data centre, or else among all."""
     by_data_centre = world.leaders.vms_by_data_centre
     owner = choose_owner(
         endpoint, by_data_centre.get(data_centre) or by_data_centre[ALL]
@@ -112,7 +112,7 @@
 
 
 def find_leader(world: World, endpoint: EndpointId) -> VmId | None:
-    """Return whom to ask for permits: the recorded leader, a hint, or the owner."""
+    """Return the daemon to ask for permits: a hint, the recorded leader or owner."""
     hint = world.entry.hints.get(endpoint)
     if hint is not None and is_reachable(world, hint):
         return hint
@@ -123,9 +123,9 @@
 
 
 def _refresh_owners(world: World) -> None:
-    """Work out anew what this daemon owns when daemons or endpoints have changed.
+    """Recompute the owners of endpoints after daemons or endpoints have changed.
 
-    The owners of other data centres' endpoints are worked out when asked for.
+    The owners of other data centres' endpoints are computed on demand.
     """
     stamp = (world.members.changes, world.config.revision)
     table = world.leaders
@@ -150,7 +150,7 @@
 
 
 def _is_leader_gone(world: World, record: LeaderRecord) -> bool:
-    """Tell whether the recorded leader can no longer be leading."""
+    """Return whether the recorded leader can no longer be leading."""
     if record.leader == world.identity.vm:
         return True
     member = world.members.known.get(record.leader)
@@ -175,15 +175,15 @@
 
 
 def has_contact(world: World) -> bool:
-    """Tell whether most of the daemons tried have answered within one lease."""
+    """Return whether most of the latest pings were answered within one lease."""
     return world.now - world.members.confirmed_at <= world.settings.timing.lease
 
 
 def _may_be_isolated(world: World) -> bool:
-    """Tell whether the others may be alive, and this daemon alone cut off.
+    """Return whether this daemon may be isolated while the other daemons are alive.
 
-    A daemon that hears nobody waits long before it takes anything over, and
-    longer each time when what it took is taken back: then the others do live.
+    An isolated daemon waits before it claims endpoints. The wait doubles each time
+    another daemon reclaims one of them, as this shows that the others are alive.
     """
     if has_contact(world):
         world.leaders.isolated_losses = 0
@@ -219,7 +219,7 @@
 
 @runs_each_tick(30, on_wake=True)
 def claim_owned(world: World) -> None:
-    """Claim what this daemon should lead and nobody live leads."""
+    """Claim endpoints offered to this daemon, and owned ones without a live leader."""
     _refresh_owners(world)
     table = world.leaders
     for endpoint, claiming in list(table.claiming.items()):
@@ -236,7 +236,7 @@
 
 
 def _adopt_offer(world: World, endpoint: EndpointId, version: int) -> Offer | None:
-    """Take the former leader's book over, if it was offered for this version."""
+    """Adopt the permits that the former leader offered for this record version."""
     offer = world.leaders.offers.pop(endpoint, None)
     if offer is None or offer.version != version:
         return None
@@ -247,7 +247,7 @@
 
 @handles_event(ClaimEnded)
 def apply_claim_result(world: World, ended: ClaimEnded) -> None:
-    """Begin to lead after a won claim; learn the winner after a lost one."""
+    """Start to lead after a successful claim; record the winner after a lost one."""
     table = world.leaders
     claiming = table.claiming.pop(ended.endpoint, None)
     if ended.record is not None:
@@ -271,7 +271,7 @@
     claimed_at: Seconds,
     offer: Offer | None,
 ) -> None:
-    """Enter an endpoint as led, with the waits that its former leader demands."""
+    """Start to lead an endpoint, with the waits that its former leader requires."""
     spec = world.config.endpoints.get(record.endpoint)
     timing = world.settings.timing
     uncontested = offer is not None or record.epoch == 1
@@ -302,7 +302,7 @@
 
 
 def _apply_record(world: World, record: LeaderRecord) -> None:
-    """Keep the newest record, and stop leading what another has claimed."""
+    """Store a newer record; stop leading an endpoint that another daemon claimed."""
     table = world.leaders
     known = table.records.get(record.endpoint)
     if known is not None and known.version >= record.version:
@@ -317,13 +317,13 @@
 
 @handles_event(LeadersChanged)
 def apply_leaders(world: World, changed: LeadersChanged) -> None:
-    """Take in what the watch on leader records brought."""
+    """Apply the leader records that the watch delivered."""
     for record in changed.records:
         _apply_record(world, record)
 
 
 def stop_leading(world: World, endpoint: EndpointId, reason: str) -> None:
-    """Forget all that was led and promised at an endpoint."""
+    """Remove the leader state, permits, asks and loads of an endpoint."""
     world.leaders.led.pop(endpoint, None)
     for permit in list(world.permits_of(endpoint)):
         del world.book.permits[permit.permit]
@@ -338,11 +338,11 @@
 
 @runs_each_tick(31)
 def maintain_confirmation(world: World) -> None:
-    """Suspend what cannot be confirmed; ask the object API before that."""
+    """Suspend unconfirmed leaderships; read the object API before the lease ends."""
     lease = world.settings.timing.lease
     for led in list(world.leaders.led.values()):
         if led.endpoint not in world.config.endpoints:
-            stop_leading(world, led.endpoint, "the endpoint was dropped")
+            stop_leading(world, led.endpoint, "endpoint removed from the configuration")
             continue
         if led.phase in ACTIVE and not is_confirmed(world, led):
             led = world.update_led(led, phase=Phase.SUSPENDED)
@@ -361,7 +361,7 @@
 
 @handles_event(LeaderRead)
 def apply_leader_read(world: World, read: LeaderRead) -> None:
-    """Confirm the leadership, or end it, by what the object API holds."""
+    """Confirm or end the leadership according to the record in the object API."""
     if read.failed or read.record is None:
         return
     _apply_record(world, read.record)
@@ -383,7 +383,7 @@
 
 @runs_each_tick(32, on_wake=True)
 def raise_fences(world: World) -> None:
-    """Raise the fence at each endpoint newly claimed."""
+    """Raise the fence at each newly claimed endpoint."""
     for led in list(world.leaders.led.values()):
         if led.phase is not Phase.CLAIMED or not is_confirmed(world, led):
             continue
@@ -403,7 +403,7 @@
 
 @handles_event(FenceRaised)
 def apply_fence_result(world: World, raised: FenceRaised) -> None:
-    """Act as leader once the endpoint refuses older orders."""
+    """Act as leader once the endpoint refuses orders of earlier leaders."""
     led = world.leaders.led.get(raised.endpoint)
     if led is None or led.phase is not Phase.CLAIMED:
         return
@@ -429,7 +429,7 @@
 
 
 def _should_hand_over(world: World, led: LedEndpoint, owner: VmId) -> bool:
-    """Tell whether an endpoint should be handed to its owner now."""
+    """Return whether an endpoint should be handed over to its owner now."""
     if owner == world.identity.vm:
         return False
     member = world.members.known.get(owner)
@@ -442,13 +442,13 @@
 
 @runs_each_tick(33)
 def hand_over(world: World) -> None:
-    """Hand endpoints to the daemons that should lead them."""
+    """Hand endpoints over to the daemons that should lead them."""
     timeout = world.settings.timing.hand_over_timeout
     for led in list(world.leaders.led.values()):
         if led.phase is Phase.HANDING_OVER:
             if world.now - led.handed_at > timeout:
-                stop_leading(world, led.endpoint, "the offer was not taken")
-                _claim(world, led.endpoint, "the offer was not taken")
+                stop_leading(world, led.endpoint, "the offer was not accepted")
+                _claim(world, led.endpoint, "the offer was not accepted")
             continue
         owner = find_owner(world, led.endpoint)
         if owner is None or led.phase is not Phase.FENCED:
@@ -458,7 +458,7 @@
 
 
 def _offer(world: World, led: LedEndpoint, owner: VmId) -> None:
-    """Stop granting, and send the book to the next leader."""
+    """Stop granting, and send the permits to the next leader."""
     unsure = [str(slot.adapter) for slot in led.slots.values() if slot.look_after > 0]
     offer = HandOver(
         endpoint=led.endpoint,
@@ -482,7 +482,7 @@
 
 @handles_message(HandOver)
 def receive_offer(world: World, sender: VmId, offer: HandOver) -> None:
-    """Prepare to claim an endpoint that its leader offers."""
+    """Store an endpoint's offer, so that the endpoint is claimed next."""
     endpoint = EndpointId(offer.endpoint)
     record = world.leaders.records.get(endpoint)
     if world.members.leaving or (record is not None and record.epoch > offer.epoch):
@@ -520,14 +520,14 @@
 
 @handles_pause
 def suspend_after_pause(world: World, paused_for: Seconds) -> None:
-    """Stop acting as leader until the object API has been read again."""
+    """Suspend all leaderships until the object API has been read again."""
     world.leaders.offers.clear()
     for led in list(world.leaders.led.values()):
         world.update_led(led, phase=Phase.SUSPENDED, confirm_asked_at=NEVER)
 
 
 def mark_unsure(world: World, led: LedEndpoint, adapter: AdapterVersion) -> None:
-    """Demand a later report before an adapter may be unloaded."""
+    """Require a later report before an adapter can be unloaded."""
     slot = led.slots.get(adapter)
     if slot is None:
         return
--- a/src/kestreltally/systems/loading.py
+++ b/src/kestreltally/systems/loading.py
@@ -1,7 +1,7 @@
-"""What is loaded and unloaded at the endpoints that this daemon leads.
+"""Loading and unloading of adapters at the endpoints that this daemon leads.
 
-One load in flight for an adapter version and endpoint, shared by all that wait.
-Nothing is unloaded while anything may use it.
+At most one load per adapter version and endpoint is in flight; all waiting requests
+share it. An adapter is not unloaded while a request may still use it.
 """
 
 from collections import defaultdict
@@ -74,7 +74,7 @@
 
 
 def measure_backlog(asks: list[Ask], now: Seconds) -> Backlog:
-    """Return how much the asks of one adapter hurt by waiting."""
+    """Return the backlog of the asks for one adapter."""
     urgency = sum(
         URGENCY_BY_PRIORITY[ask.priority] * (1.0 + now - ask.arrived_at) for ask in asks
     )
@@ -88,7 +88,7 @@
 
 
 def list_backlogs(world: World, led: LedEndpoint) -> list[Backlog]:
-    """Return the adapters that are asked for and not held, most urgent first."""
+    """Return the requested and pinned adapters without a slot, most urgent first."""
     waiting: dict[AdapterVersion, list[Ask]] = defaultdict(list)
     for ask in world.book.asks.values():
         absent = ask.adapter != SERVICE and ask.adapter not in led.slots
@@ -114,7 +114,7 @@
 
 
 def is_in_use(world: World, led: LedEndpoint, slot: Slot) -> bool:
-    """Tell whether anything uses, or may still use, the adapter of a slot."""
+    """Return whether a request uses, or may still use, the adapter of a slot."""
     if any(True for _ in world.permits_of(led.endpoint, slot.adapter)):
         return True
     if slot.look_after > 0:
@@ -124,7 +124,7 @@
 
 
 def can_unload(world: World, led: LedEndpoint, slot: Slot) -> bool:
-    """Tell whether the leader may unload the adapter of a slot now."""
+    """Return whether the leader can unload the adapter of a slot now."""
     if world.now < max(led.unloads_after, led.orders_after):
         return False
     if led.report is None or led.report.composed_at <= led.since:
@@ -133,12 +133,15 @@
 
 
 def list_loads(world: World, endpoint: EndpointId) -> list[Load]:
-    """Return the loads planned or under way at an endpoint."""
+    """Return the loads that are planned or in flight at an endpoint."""
     return [load for load in world.book.loads.values() if load.endpoint == endpoint]
 
 
 def _choose_victim(world: World, led: LedEndpoint, backlog: Backlog) -> Slot | None:
-    """Return the slot to empty for a hungry adapter, if one should be."""
+    """Return the slot to free for a backlog, or None.
+
+    A busy slot is chosen only after the backlog has waited for CLOSE_BUSY_DELAY.
+    """
     waiting: dict[AdapterVersion, int] = defaultdict(int)
     for ask in world.book.asks.values():
         if ask.endpoint == led.endpoint:
@@ -171,7 +174,7 @@
 
 @runs_each_tick(70, on_wake=True)
 def plan_loads(world: World) -> None:
-    """Plan a load for each hungry adapter, within the endpoint's parallelism."""
+    """Plan loads for waiting adapters, within the endpoint's concurrency limit."""
     if not (world.book.asks or world.book.loads or world.config.pinned):
         return
     for led in list(world.leaders.led.values()):
@@ -219,7 +222,7 @@
 
 
 def _cancel_unrequested(world: World, led: LedEndpoint) -> None:
-    """Drop planned loads that nobody waits for any more."""
+    """Remove planned loads that are no longer requested or pinned."""
     requested = {
         ask.adapter for ask in world.book.asks.values() if ask.endpoint == led.endpoint
     }
@@ -247,7 +250,7 @@
 
 @runs_each_tick(71, on_wake=True)
 def assign_slots(world: World) -> None:
-    """Give each planned load a slot, closing another one where it must."""
+    """Assign a slot to each planned load, closing another slot if necessary."""
     for load in list(world.book.loads.values()):
         led = world.leaders.led.get(load.endpoint)
         if led is None or not can_act(world, led):
@@ -300,7 +303,7 @@
 
 @runs_each_tick(72, on_wake=True)
 def unload_closed(world: World) -> None:
-    """Order the unloading of closed slots that nothing can use any more."""
+    """Order the unloading of closed slots that can no longer be in use."""
     for led in list(world.leaders.led.values()):
         if not can_act(world, led):
             continue
@@ -349,7 +352,10 @@
 
 @runs_each_tick(73, on_wake=True)
 def request_budget(world: World) -> None:
-    """Ask for leave to load what has a slot; after a silence take the static share."""
+    """Request a budget grant for each load that has a slot.
+
+    If the budget leader does not answer, fall back to this daemon's static share.
+    """
     for load in list(world.book.loads.values()):
         led = world.leaders.led.get(load.endpoint)
         if load.state is not LoadState.WAITING_FOR_BUDGET or led is None:
@@ -367,7 +373,7 @@
         ):
             world.events.add(
                 PART,
-                "loads without leave",
+                "loads without a budget grant",
                 reason="no load-budget leader answers",
                 endpoint=load.endpoint,
                 adapter=str(load.adapter),
@@ -376,7 +382,7 @@
 
 
 def _is_static_share_free(world: World) -> bool:
-    """Tell whether this daemon's static share allows a load: one at a time."""
+    """Return whether this daemon's static share, one load at a time, allows a load."""
     return not any(
         load.state is LoadState.ORDERED for load in world.book.loads.values()
     ) and _is_budget_leader_silent(world)
@@ -392,7 +398,7 @@
 
 @handles_message(GrantLoad)
 def receive_load_grant(world: World, sender: VmId, granted: GrantLoad) -> None:
-    """Order the load that the budget leader has given leave for."""
+    """Order the load that the budget leader has granted."""
     world.book.budget_received_at = world.now
     load = world.book.loads.get(granted.load)
     if load is None:
@@ -402,7 +408,7 @@
 
 
 def order_load(world: World, load: Load) -> None:
-    """Order a load, if this daemon may still act as the endpoint's leader."""
+    """Order a load, if this daemon can still act as the endpoint's leader."""
     led = world.leaders.led.get(load.endpoint)
     if led is None or not can_act(world, led) or load.adapter in led.slots:
         _end_load(world, load)
@@ -433,7 +439,7 @@
 
 @handles_event(LoadEnded)
 def apply_load_result(world: World, ended: LoadEnded) -> None:
-    """Open the slot of a loaded adapter, or plan anew after a failure."""
+    """Add the slot of a loaded adapter, or record the failure."""
     load = world.book.loads.get(ended.load)
     if load is None:
         return
@@ -467,7 +473,7 @@
 
 @handles_event(UnloadEnded)
 def apply_unload_result(world: World, ended: UnloadEnded) -> None:
-    """Free the slot; a slot whose unloading is in doubt stays closed."""
+    """Remove the slot after a successful unload; otherwise keep it closed."""
     led = world.leaders.led.get(ended.endpoint)
     if led is None or ended.adapter not in led.slots:
         return
--- a/src/kestreltally/systems/membership.py
+++ b/src/kestreltally/systems/membership.py
@@ -1,8 +1,8 @@
-"""Which daemons are alive: heartbeats, suspicion, rumours.
+"""Membership and failure detection: heartbeats, suspicion and rumours.
 
-After SWIM (Das, Gupta, Motivala, 2002): each heartbeat goes to one daemon, and
-rumours ride on heartbeats, so the cost per daemon does not grow with the fleet.
-The VM list only says whom to try.
+Based on SWIM (Das, Gupta, Motivala, 2002): each heartbeat goes to one daemon, and
+rumours are piggybacked on heartbeats, so the cost per daemon does not grow with the
+fleet. The VM list only provides the addresses to probe.
 """
 
 from collections.abc import Iterable
@@ -38,7 +38,7 @@
 
 
 def list_eligible(world: World) -> list[VmId]:
-    """Return the daemons that may own a duty, this one included."""
+    """Return the daemons that can own a duty, including this one."""
     eligible = [] if world.members.leaving else [world.identity.vm]
     return eligible + [
         member.vm
@@ -49,13 +49,13 @@
 
 
 def is_listed_leaving(world: World, vm: VmId) -> bool:
-    """Tell whether the VM list says that the VM is leaving."""
+    """Return whether the VM list marks a VM as leaving."""
     listed = world.members.listed.get(vm)
     return listed is not None and listed.leaving
 
 
 def get_data_centre(world: World, vm: VmId) -> DataCentre:
-    """Return a daemon's data centre, empty when it is not known."""
+    """Return a daemon's data centre, or an empty name if it is unknown."""
     if vm == world.identity.vm:
         return world.identity.data_centre
     member = world.members.known.get(vm)
@@ -63,7 +63,7 @@
 
 
 def is_reachable(world: World, vm: VmId) -> bool:
-    """Tell whether it makes sense to send to a daemon."""
+    """Return whether messages can be sent to a daemon: it is known and not dead."""
     if vm == world.identity.vm:
         return True
     member = world.members.known.get(vm)
@@ -71,7 +71,7 @@
 
 
 def make_local_rumour(world: World) -> Rumour:
-    """Return what this daemon says of itself."""
+    """Return this daemon's rumour about itself."""
     identity = world.identity
     state = MemberState.LEAVING if world.members.leaving else MemberState.ALIVE
     return Rumour(
@@ -98,7 +98,11 @@
 
 
 def _choose_rumours(world: World, subject: VmId | None) -> list[Rumour]:
-    """Return the own rumour, what is held of ``subject``, then the least told."""
+    """Choose the rumours to piggyback on a message.
+
+    The local rumour comes first, then the one about ``subject`` if it is not alive,
+    then those with the most transmissions left.
+    """
     table = world.members
     chosen = [make_local_rumour(world)]
     about = table.known.get(subject) if subject is not None else None
@@ -115,7 +119,7 @@
 
 
 def _set_member(world: World, member: Member) -> None:
-    """Store a member and tell others; duties are worked out anew on a change."""
+    """Store a member and queue its rumour; a change causes owners to be recomputed."""
     table = world.members
     before = table.known.get(member.vm)
     changed = before is None or before.state is not member.state
@@ -134,7 +138,7 @@
 
 
 def _refute(world: World, rumour: Rumour) -> None:
-    """Answer a rumour that this daemon is not alive."""
+    """Refute a rumour that this daemon is suspect or dead."""
     if rumour.incarnation != world.identity.incarnation:
         return
     if rumour.state in (MemberState.SUSPECT, MemberState.DEAD):
@@ -202,7 +206,7 @@
 
 
 def _ping_next(world: World) -> None:
-    """Send the heartbeat to the next daemon of a shuffled round."""
+    """Ping the next daemon of a shuffled round."""
     table = world.members
     while table.round:
         vm = table.round.pop()
@@ -216,7 +220,7 @@
 
 
 def _probe_dead(world: World) -> None:
-    """Try one daemon held dead, so that data centres find each other again."""
+    """Ping a random listed daemon that is not known up, so that partitions can heal."""
     dead = [
         vm
         for vm, listed in world.members.listed.items()
@@ -235,7 +239,7 @@
 
 @runs_each_tick(10)
 def send_heartbeats(world: World) -> None:
-    """Send the heartbeats that are due."""
+    """Ping newly listed daemons, and send the heartbeat if it is due."""
     table = world.members
     for _ in range(min(FIRST_PROBES_PER_TICK, len(table.unprobed_vms))):
         listed = table.unprobed_vms.pop()
@@ -272,7 +276,7 @@
 
 @runs_each_tick(11)
 def detect_failures(world: World) -> None:
-    """Suspect daemons that do not answer; hold dead those suspected for long."""
+    """Suspect daemons that do not answer; declare dead those suspected for too long."""
     timing = world.settings.timing
     table = world.members
     for sequence, pending in list(table.pending.items()):
@@ -292,7 +296,7 @@
 
 
 def _expire_suspects(world: World) -> None:
-    """Hold dead whom nobody has cleared; forget the long dead."""
+    """Declare suspects dead after the suspicion time; remove members dead for long."""
     timing = world.settings.timing
     table = world.members
     not_alive = [m for m in table.known.values() if m.state is not MemberState.ALIVE]
@@ -307,7 +311,10 @@
 
 @runs_each_tick(12)
 def record_contact(world: World) -> None:
-    """Note when most of the latest heartbeats were answered."""
+    """Record contact if most of the latest heartbeats were answered.
+
+    Without other known or listed daemons, contact counts as given.
+    """
     table = world.members
     if sum(table.recent_pings) >= MIN_CONFIRMING_PINGS:
         table.confirmed_at = max(table.confirmed_at, table.latest_ack)
@@ -324,7 +331,7 @@
 
 @handles_message(Ping)
 def answer_ping(world: World, sender: VmId, ping: Ping) -> None:
-    """Answer a heartbeat and take its rumours in."""
+    """Answer a heartbeat and apply its rumours."""
     _apply_rumours(world, ping.rumours)
     record_peer_revision(world, sender, ping.revision, ping.unconfirmed_for)
     ack = Ack(
@@ -339,7 +346,7 @@
 
 @handles_message(PingFor)
 def ping_for_peer(world: World, sender: VmId, request: PingFor) -> None:
-    """Send a heartbeat that another daemon got no answer to."""
+    """Ping a daemon on behalf of a peer that got no answer from it."""
     subject = world.members.known.get(VmId(request.subject))
     if subject is None:
         return
@@ -355,7 +362,7 @@
 
 @handles_message(Ack)
 def receive_ack(world: World, sender: VmId, ack: Ack) -> None:
-    """Note that a daemon is alive; pass the answer on to who asked for it."""
+    """Record that a daemon is alive, or forward the answer to the requesting peer."""
     _apply_rumours(world, ack.rumours)
     record_peer_revision(world, sender, ack.revision, ack.unconfirmed_for)
     pending = world.members.pending.pop(ack.sequence, None)
@@ -375,7 +382,7 @@
 
 @handles_event(VmsListed)
 def apply_vm_list(world: World, listed: VmsListed) -> None:
-    """Take the VM list in: whom to try, and who is leaving."""
+    """Apply the VM list: addresses to probe, and which VMs are leaving."""
     table = world.members
     new = {each.vm: each for each in listed.vms}
     if new == table.listed:
@@ -390,7 +397,7 @@
 
 @handles_event(StopRequested)
 def announce_leaving(world: World, _: StopRequested) -> None:
-    """Tell the others that this daemon is leaving."""
+    """Announce to other daemons that this one is leaving."""
     table = world.members
     table.leaving = True
     table.changes += 1
@@ -402,7 +409,10 @@
 
 @handles_pause
 def reset_failure_detection(world: World, paused_for: Seconds) -> None:
-    """Hold nobody silent for a time in which this daemon did not listen."""
+    """Reset pending pings and suspicion times after a pause of this daemon.
+
+    It received no messages meanwhile, so the silence of peers proves nothing.
+    """
     table = world.members
     world.events.add(PART, "was paused", detail=f"{paused_for:.2f} s")
     table.pending.clear()
--- a/src/kestreltally/systems/registry.py
+++ b/src/kestreltally/systems/registry.py
@@ -1,4 +1,4 @@
-"""The systems: what handles a happening, what runs each tick, in which order."""
+"""Registry of systems: event and message handlers, and the functions of each tick."""
 
 import logging
 from collections.abc import Callable
@@ -24,7 +24,7 @@
 
 
 def handles_event(event_type: type[Any]) -> Callable[[H], H]:
-    """Register a function for one type of happening."""
+    """Register a function for one type of outside event."""
 
     def register(handler: H) -> H:
         HANDLERS.setdefault(event_type, []).append(handler)
@@ -44,16 +44,16 @@
 
 
 def handles_pause(handler: H) -> H:
-    """Register a function that is called when the daemon was paused too long."""
+    """Register a function to call after the daemon was paused for too long."""
     PAUSE_HANDLERS.append(handler)
     return handler
 
 
 def runs_each_tick(order: int, *, on_wake: bool = False) -> Callable[[R], R]:
-    """Register a function to run each tick; smaller numbers run first.
+    """Register a function to run on each tick; smaller numbers run first.
 
-    What runs ``on_wake`` too must cost no more for more daemons or adapters, for
-    an arriving message wakes it some hundred times a second.
+    The cost of an ``on_wake`` function must not grow with the number of daemons or
+    adapters: arriving messages trigger it some hundred times a second.
     """
 
     def register(runner: R) -> R:
@@ -67,12 +67,12 @@
 
 
 def _handle_message(world: World, arrived: MessageArrived) -> None:
-    """Hand a message on; one with values out of their range is left out."""
+    """Pass a message to its handlers; discard one whose values are out of range."""
     for handler in MESSAGE_HANDLERS.get(type(arrived.message), ()):
         try:
             handler(world, arrived.sender, arrived.message)
         except ValueError as error:
-            LOG.warning("peers: a message of %s left out: %s", arrived.sender, error)
+            LOG.warning("peers: discarded a message from %s: %s", arrived.sender, error)
 
 
 def _handle_event(world: World, event: OutsideEvent) -> None:
@@ -89,11 +89,11 @@
 
 
 def run_step(world: World, now: Seconds, woken: bool = False) -> None:
-    """Run one tick: notice a pause, take the inbox in, run the systems.
+    """Run one step: detect a pause, drain the inbox, run the systems.
 
-    Between two ticks a step that is only ``woken`` by an arrival runs the few
-    systems that serve requests. A system may leave messages to the daemon itself,
-    so the inbox is drained after each.
+    A step between two ticks, ``woken`` by an arrival, runs only the few systems
+    that serve requests. A system may send messages to the daemon itself, so the
+    inbox is drained after each system.
     """
     paused_for = now - world.last_step
     world.now = now
--- a/src/kestreltally/systems/reports.py
+++ b/src/kestreltally/systems/reports.py
@@ -1,6 +1,6 @@
-"""What endpoints report, and what a leader makes of it.
+"""Fetches the reports of endpoints and applies them to the leader's state.
 
-A report lags: it only counts for moments before it was composed.
+Reports lag: a report is only valid for times before it was composed.
 """
 
 from dataclasses import replace
@@ -20,7 +20,7 @@
 
 @runs_each_tick(40)
 def request_reports(world: World) -> None:
-    """Ask each led endpoint for its report when one is due."""
+    """Request a report from each led endpoint when one is due."""
     period = world.settings.timing.report_period
     for led in list(world.leaders.led.values()):
         if world.now - led.report_asked_at >= period:
@@ -30,7 +30,7 @@
 
 @handles_event(ReportFetched)
 def apply_report(world: World, fetched: ReportFetched) -> None:
-    """Bring the table of a led endpoint in line with its report."""
+    """Update the state of a led endpoint from its report."""
     led = world.leaders.led.get(fetched.endpoint)
     report = fetched.report
     if led is None or report is None:
@@ -55,7 +55,7 @@
 
 
 def _reset_instance(world: World, led: LedEndpoint) -> LedEndpoint:
-    """Start anew with an endpoint that restarted: nothing runs or is loaded there."""
+    """Reset the state of a restarted endpoint: nothing runs or is loaded on it."""
     world.events.add(PART, "restarted with nothing loaded", endpoint=led.endpoint)
     for permit in list(world.permits_of(led.endpoint)):
         if permit.state is PermitState.EXPIRED:
@@ -72,9 +72,9 @@
     led: LedEndpoint,
     report: EndpointReport,
 ) -> None:
-    """Drop expired permits that the report has outlived.
+    """Remove expired permits that ended before the report was composed.
 
-    Whatever was started under them shows in the report's own count.
+    The report's count includes the requests that were started under them.
     """
     for permit in list(world.permits_of(led.endpoint)):
         expired = permit.state is PermitState.EXPIRED
@@ -124,12 +124,15 @@
 
 
 def _is_newer(led: LedEndpoint, report: EndpointReport) -> bool:
-    """Tell whether a report may add adapters: it was composed under this leader."""
+    """Return whether a report can add slots.
+
+    It must be composed after this leader's start and after its last change.
+    """
     return report.composed_at > max(led.since, led.changed_at)
 
 
 def _clear_doubt(slot: Slot, report: EndpointReport) -> Slot:
-    """Clear the doubt about a slot when a later report shows nothing running."""
+    """Clear the slot's uncertainty if a later report shows no running requests."""
     idle = report.running.get(slot.adapter, 0) == 0
     if slot.look_after > 0 and report.composed_at > slot.look_after and idle:
         return replace(slot, look_after=0.0)
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -1,7 +1,7 @@
-"""The fault matrix: every fault at every step, on the daemons' own code.
+"""The fault matrix: injects every fault at every step into the daemons' code.
 
-``python -m tests.matrix`` runs all cells, the same way every time, and prints each
-as held or broken. A part of the cells runs in the tests.
+``python -m tests.matrix`` runs all cells deterministically and prints each as held or
+broken. The tests run a sample of the cells.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """A moment: the first event of this kind, in a scenario, after the warm-up."""
+    """An injection point: the first matching event of a scenario after the warm-up."""
 
     name: str
     scenario: str
@@ -87,7 +87,7 @@
 
 
 def find_leader_node(fleet: Fleet, node: Node, event: Event) -> Node:
-    """Return the node that leads the event's endpoint, or the event's own."""
+    """Return the node that leads the event's endpoint, or ``node`` if none leads it."""
     for each in fleet.nodes:
         if EndpointId(event.endpoint) in each.runtime.world.leaders.led:
             return each
@@ -235,7 +235,7 @@
 
 @dataclass(frozen=True)
 class Cell:
-    """One fault at one step."""
+    """One fault injected at one step."""
 
     step: str
     fault: str
@@ -245,7 +245,7 @@
 
 @dataclass(frozen=True)
 class CellResult:
-    """What came of a cell."""
+    """The result of a cell."""
 
     cell: Cell
     reached: bool
@@ -300,13 +300,13 @@
         )
 
     async def send_all(self) -> None:
-        """Send a mix of requests to all daemons that are up."""
+        """Send a mix of requests to all running daemons."""
         fleet = self.fleet
         for number in range(int(BUSY_DURATION / 0.1)):
             target = number % DAEMONS
             node = fleet.nodes[target]
             if node.is_up and not node.stopping:
-                # The popularity flips half way.
+                # The popular adapters change half-way through.
                 first = 0 if number < 45 else 4
                 adapter = f"a{first + fleet.random.randrange(5)}"
                 service = number % 5 == 0
@@ -328,7 +328,7 @@
             )
 
     async def run_scenario(self) -> None:
-        """Do what the step's scenario is about, and mend the fault in the end."""
+        """Run the step's scenario; remove the fault a while after its injection."""
         fleet, scenario = self.fleet, self.step.scenario
         if scenario == "take-over":
             await fleet.nodes[KILLED_DAEMON].kill()
@@ -347,7 +347,7 @@
         await fleet.heal()
 
     async def stop_one(self) -> None:
-        """Stop a daemon as planned; whatever it cuts off is a problem."""
+        """Stop a daemon as planned; a request that it interrupts is a problem."""
         node = self.fleet.nodes[STOPPED_DAEMON]
         clean = await node.stop_planned()
         if not clean:
@@ -357,7 +357,7 @@
             self.fleet.start_node(STOPPED_DAEMON)
 
     async def probe(self) -> list[str]:
-        """Send a last request to each daemon, which must be answered."""
+        """Send a final request to each daemon; each must be answered."""
         answer_time = TOKENS * self.cell.token_time
         probes = [
             self.fleet.send(number, f"a{number}", deadline=10.0 + answer_time)
@@ -365,13 +365,13 @@
         ]
         await self.fleet.settle(PROBE_WAIT + answer_time)
         return [
-            f"once mended {probe.request} at {probe.vm} ended as {probe.refusal}"
+            f"after the fault {probe.request} at {probe.vm} ended as {probe.refusal}"
             for probe in probes
             if not probe.done
         ]
 
     def check_end(self) -> list[str]:
-        """Check that every daemon holds the newest configuration."""
+        """Check that requests ended and daemons have the newest configuration."""
         newest = max(
             stored.revision
             for key, stored in self.fleet.store.objects.items()
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -1,7 +1,7 @@
-"""Each check is shown to be able to fail: the program is broken on purpose.
+"""Mutation tests of the fault matrix: each check must be able to fail.
 
-A mutation takes one mechanism away; the cells named with it must then break. Run
-``python -m tests.mutations`` for the table of which check caught which.
+A mutation disables one mechanism; at least one of its cells must then report a problem.
+``python -m tests.mutations`` prints which check caught which mutation.
 """
 
 import logging
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """A mechanism taken away, and where that must show."""
+    """A disabled mechanism, and the cells and problem that must reveal it."""
 
     name: str
     promise: str
@@ -51,7 +51,7 @@
 def register_mutation(
     name: str, promise: str, expected_problem: str, *cells: Cell
 ) -> Callable[[Patcher], Patcher]:
-    """Register a mutation; ``expected_problem`` is what the problem found must say."""
+    """Register a mutation; ``expected_problem`` must occur in a reported problem."""
 
     def register(patcher: Patcher) -> Patcher:
         MUTATIONS.append(Mutation(name, promise, expected_problem, patcher, cells))
@@ -173,7 +173,7 @@
 
 
 @register_mutation(
-    "a lost answer to a claim taken for a refusal of it",
+    "a lost answer to a claim treated as its refusal",
     "a not-repeatable request runs at most once",
     "ran 2 times",
     Cell("request claims its id", "answers lost"),
@@ -187,7 +187,7 @@
 
 
 @register_mutation(
-    "a not-repeatable request tried again",
+    "a not-repeatable request retried",
     "a not-repeatable request runs at most once",
     "not-repeatable-sent-once",
     Cell("first token", "streams cut"),
@@ -203,7 +203,7 @@
 
 
 @register_mutation(
-    "every refusal told as not run",
+    "every refusal reported as not run",
     "not run means not run",
     "not-run-means-not-sent",
     Cell("first token", "streams cut"),
@@ -213,7 +213,7 @@
 
 
 @register_mutation(
-    "a lost attempt taken for one not run",
+    "a lost attempt treated as not run",
     "not run means not run",
     "told not_run but ran",
     Cell("first token", "streams cut"),
@@ -232,7 +232,7 @@
 
 
 @register_mutation(
-    "answers' names not looked at",
+    "names in answers not checked",
     "the right adapter and version",
     " got ",
     Cell("first token", "wrong version"),
@@ -266,7 +266,7 @@
         if arrived.revision < before:
             world.config.revision = arrived.revision
             world.invariants.require(
-                configuration.REVISION_NEVER_REVERTS, False, "went back"
+                configuration.REVISION_NEVER_REVERTS, False, "revision reverted"
             )
         return increased
 
@@ -328,7 +328,7 @@
 
 
 def run_mutation(mutation: Mutation) -> tuple[str, str]:
-    """Return the cell that broke under a mutation and its first problem, or empty."""
+    """Return the cell that caught a mutation and the problem, or empty strings."""
     logging.disable(logging.CRITICAL)
     try:
         for cell in mutation.cells:
--- a/tests/test_availability.py
+++ b/tests/test_availability.py
@@ -1,4 +1,4 @@
-"""The circuit breaker opens, lets one request try, and never stays shut."""
+"""The circuit breaker opens, allows one probe at a time, and never stays open."""
 
 from bench.slopes import ADAPTER, add_config, make_test_world
 from kestreltally.entities.endpoints import Breaker
@@ -41,7 +41,7 @@
 
 
 def test_an_inconclusive_probe_allows_the_next() -> None:
-    """A probe may be refused before it runs, or its caller may hang up."""
+    """A probe may be refused before it runs, or its caller may disconnect."""
     world = make_world(failures=3)
     world.now += world.settings.limits.breaker_open
     start_probe(world, ENGINE)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,11 +1,11 @@
-"""The configuration: in force in time, from peers during an outage, never back."""
+"""Configuration: propagation time, start from peers during an outage, recovery."""
 
 from kestreltally.entities.configuration import Adapter
 from tests.fleet import MODEL, Fleet, run_virtual
 
 
 async def change(fault: str) -> tuple[Fleet, float]:
-    """Change the configuration; return after how long it is in force everywhere."""
+    """Change the configuration; return the time until it is in force everywhere."""
     fleet = Fleet(daemons=6)
     await fleet.start()
     await fleet.settle(4.0)
@@ -69,7 +69,7 @@
 
 
 async def survive_an_outage() -> tuple[Fleet, int, int]:
-    """Let the object API be down for ten minutes, then come back to all."""
+    """Stop the object API for ten minutes, then restore it for all daemons."""
     fleet = Fleet(daemons=6)
     await fleet.start()
     await fleet.settle(4.0)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,10 +1,10 @@
-"""Leadership under cuts that last, and take-over in time."""
+"""Leadership during lasting network partitions, and timely take-over."""
 
 from tests.fleet import Fleet, run_virtual
 
 
 async def isolate_one(seconds: float) -> tuple[Fleet, int, int, int]:
-    """Cut one daemon from all others, but not from the object API or endpoints."""
+    """Isolate one daemon from all others, but not from the object API or endpoints."""
     fleet = Fleet()
     await fleet.start()
     await fleet.settle(4.0)
@@ -40,7 +40,7 @@
 
 
 async def kill_leader() -> tuple[Fleet, float]:
-    """Kill a leader; return after how long its endpoint has another."""
+    """Kill a leader; return the time until its endpoints have another leader."""
     fleet = Fleet()
     await fleet.start()
     await fleet.settle(5.0)
@@ -70,7 +70,7 @@
 
 
 async def replace_all_at_once() -> Fleet:
-    """Kill every daemon and put empty ones in their places, under load."""
+    """Kill every daemon under load and replace them by daemons without state."""
     fleet = Fleet()
     await fleet.start()
     await fleet.settle(4.0)
--- a/tests/test_matrix.py
+++ b/tests/test_matrix.py
@@ -1,4 +1,4 @@
-"""A part of the fault matrix; ``make matrix`` runs all of it."""
+"""A sample of the fault matrix; ``make matrix`` runs all cells."""
 
 import pytest
 
--- a/tests/test_mutations.py
+++ b/tests/test_mutations.py
@@ -1,4 +1,4 @@
-"""Each mechanism that is taken away must show."""
+"""Each mutation must be caught by a check."""
 
 import pytest
 
