--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -46,7 +46,7 @@
     VmId,
 )
 from kestreltally.entities.members import ListedVm, Member, MemberState
-from kestreltally.entities.permits import Want
+from kestreltally.entities.permits import Waiter
 from kestreltally.objectapi.http import open_session
 from kestreltally.orders import (
     ConfigArrived,
@@ -54,8 +54,8 @@
     PermitUsed,
     SendMessage,
     UseEnd,
-    WantAdded,
-    WantGranted,
+    WaiterAdded,
+    WaiterGranted,
 )
 from kestreltally.peers.codec import read_envelope, write_envelope
 from kestreltally.peers.messages import Envelope, PeerMessage
@@ -305,8 +305,8 @@
 
     def serve(self, number: int) -> None:
         """Bring one request through its permit and back."""
-        want = Want(
-            want=str(number),
+        waiter = Waiter(
+            waiter=str(number),
             request=RequestId(f"till:{number}"),
             adapter=ADAPTER,
             candidates=(EndpointId("engine-0"),),
@@ -314,13 +314,13 @@
             deadline_at=self.entry.now + 1e6,
             since=self.entry.now,
         )
-        self.entry.inbox.append(WantAdded(want))
+        self.entry.inbox.append(WaiterAdded(waiter))
         self.step_entry()
         self.step_leader()
         self.step_entry()
         (answer,) = self.entry.entry.answers
         self.entry.entry.answers.clear()
-        assert isinstance(answer, WantGranted)
+        assert isinstance(answer, WaiterGranted)
         permit = answer.permit.permit
         used = PermitUsed(permit, AttemptId(""), UseEnd.ENDED)
         self.entry.inbox.append(used)
--- a/src/kestreltally/callers/surface.py
+++ b/src/kestreltally/callers/api.py
@@ -8,16 +8,16 @@
 from aiohttp import web
 from result import Err
 
-from kestreltally.callers.identity import check_rules, find_caller
-from kestreltally.callers.reading import (
+from kestreltally.callers.identity import authenticate_caller, check_rules
+from kestreltally.callers.parsing import (
     CHAT,
     COMPLETIONS,
     HEADER_REQUEST,
-    read_completion,
-    read_service_call,
+    parse_completion,
+    parse_service_call,
     refuse,
 )
-from kestreltally.callers.sinks import StreamSink, WholeSink, describe_refusal
+from kestreltally.callers.sinks import BufferedSink, StreamSink, describe_refusal
 from kestreltally.entities.configuration import Caller
 from kestreltally.metrics import Metrics
 from kestreltally.orders import RefusalReason
@@ -32,7 +32,7 @@
 HEADER_OUTCOME: Final = "X-Outcome"
 
 
-def respond_refusal(refusal: Refusal, request: str) -> web.Response:
+def make_refusal_response(refusal: Refusal, request: str) -> web.Response:
     """Return the HTTP form of a refusal."""
     headers = {HEADER_REQUEST: request, HEADER_OUTCOME: refusal.outcome.value}
     if refusal.retry_after > 0:
@@ -44,7 +44,7 @@
     )
 
 
-class CallerSurface:
+class CallerApi:
     """The handlers of the callers' side of one daemon."""
 
     def __init__(
@@ -70,15 +70,17 @@
 
     def _refuse(self, refusal: Refusal, request: str) -> web.Response:
         self._metrics.count_refusal(refusal)
-        return respond_refusal(refusal, request)
+        return make_refusal_response(refusal, request)
 
-    async def _open(self, http: web.Request) -> tuple[Caller, bytes] | web.Response:
+    async def _authenticate_and_read(
+        self, http: web.Request
+    ) -> tuple[Caller, bytes] | web.Response:
         """Return who calls and the body, or the refusal."""
         request = http.headers.get(HEADER_REQUEST, "")
-        if not self._server.accepts:
+        if not self._server.is_accepting:
             stopping = refuse(RefusalReason.STOPPING, "this daemon is stopping", 1.0)
             return self._refuse(stopping.err_value, request)
-        found = find_caller(
+        found = authenticate_caller(
             self._runtime.world,
             http.headers.get("Authorization", ""),
         )
@@ -101,11 +103,11 @@
 
     async def serve_completion(self, http: web.Request) -> web.StreamResponse:
         """Serve a completion or chat completion."""
-        opened = await self._open(http)
-        if isinstance(opened, web.Response):
-            return opened
-        caller, raw = opened
-        read = read_completion(
+        authenticated = await self._authenticate_and_read(http)
+        if isinstance(authenticated, web.Response):
+            return authenticated
+        caller, raw = authenticated
+        parsed = parse_completion(
             self._runtime.world,
             caller,
             http.path,
@@ -113,60 +115,60 @@
             raw,
             self._runtime.clock(),
         )
-        named = http.headers.get(HEADER_REQUEST, "")
-        if isinstance(read, Err):
-            return self._refuse(read.err_value, named)
-        request, streamed = read.ok_value
+        request_id = http.headers.get(HEADER_REQUEST, "")
+        if isinstance(parsed, Err):
+            return self._refuse(parsed.err_value, request_id)
+        request, streamed = parsed.ok_value
         request = self._make_unique(request)
-        outside_id = request.request.partition(":")[2]
+        external_id = request.request.partition(":")[2]
         if streamed:
-            return await self._serve_stream(http, request, outside_id, as_event=True)
-        return await self._serve_whole(http, request, outside_id)
+            return await self._serve_stream(http, request, external_id, as_event=True)
+        return await self._serve_buffered(http, request, external_id)
 
     async def _serve_stream(
         self,
         http: web.Request,
         request: CallerRequest,
-        outside_id: str,
+        external_id: str,
         as_event: bool,
     ) -> web.StreamResponse:
-        sink = StreamSink(http, outside_id)
+        sink = StreamSink(http, external_id)
         with self._metrics.time_request(request):
             result = await self._server.serve(request, sink)
         if not isinstance(result, Err):
             return await sink.finish(with_end_mark=as_event)
         refusal = result.err_value
         if sink.response is None:
-            return self._refuse(refusal, outside_id)
+            return self._refuse(refusal, external_id)
         self._metrics.count_refusal(refusal)
-        return await sink.break_off(refusal, as_event)
+        return await sink.abort(refusal, as_event)
 
-    async def _serve_whole(
+    async def _serve_buffered(
         self,
         http: web.Request,
         request: CallerRequest,
-        outside_id: str,
+        external_id: str,
     ) -> web.StreamResponse:
-        sink = WholeSink()
+        sink = BufferedSink()
         with self._metrics.time_request(request):
             result = await self._server.serve(request, sink)
         if isinstance(result, Err):
-            return self._refuse(result.err_value, outside_id)
+            return self._refuse(result.err_value, external_id)
         assert sink.head is not None
         headers = {
-            HEADER_REQUEST: outside_id,
+            HEADER_REQUEST: external_id,
             "X-Adapter-Version": sink.head.adapter,
         }
-        body = sink.compose(outside_id, chat=http.path == CHAT)
+        body = sink.compose(external_id, chat=http.path == CHAT)
         return web.json_response(body, headers=headers)
 
     async def serve_service(self, http: web.Request) -> web.StreamResponse:
         """Serve a request to a plain service."""
-        opened = await self._open(http)
-        if isinstance(opened, web.Response):
-            return opened
-        caller, raw = opened
-        read = read_service_call(
+        authenticated = await self._authenticate_and_read(http)
+        if isinstance(authenticated, web.Response):
+            return authenticated
+        caller, raw = authenticated
+        parsed = parse_service_call(
             self._runtime.world,
             caller,
             http.method,
@@ -176,18 +178,18 @@
             raw,
             self._runtime.clock(),
         )
-        if isinstance(read, Err):
-            return self._refuse(read.err_value, http.headers.get(HEADER_REQUEST, ""))
-        request = self._make_unique(read.ok_value)
-        outside_id = request.request.partition(":")[2]
-        return await self._serve_stream(http, request, outside_id, as_event=False)
+        if isinstance(parsed, Err):
+            return self._refuse(parsed.err_value, http.headers.get(HEADER_REQUEST, ""))
+        request = self._make_unique(parsed.ok_value)
+        external_id = request.request.partition(":")[2]
+        return await self._serve_stream(http, request, external_id, as_event=False)
 
     async def list_models(self, http: web.Request) -> web.StreamResponse:
         """List the adapters that the caller may use."""
-        opened = await self._open(http)
-        if isinstance(opened, web.Response):
-            return opened
-        caller, _ = opened
+        authenticated = await self._authenticate_and_read(http)
+        if isinstance(authenticated, web.Response):
+            return authenticated
+        caller, _ = authenticated
         world = self._runtime.world
         allowed = [
             adapter
--- a/src/kestreltally/callers/identity.py
+++ b/src/kestreltally/callers/identity.py
@@ -13,7 +13,7 @@
 from kestreltally.world import World
 
 BEARER: Final = "Bearer "
-STALE_COME_BACK: Final = 2.0
+STALE_RETRY_AFTER: Final = 2.0
 
 
 def digest_key(key: str) -> str:
@@ -21,13 +21,13 @@
     return sha256(key.encode()).hexdigest()
 
 
-def find_caller(world: World, authorization: str) -> Result[Caller, Refusal]:
+def authenticate_caller(world: World, authorization: str) -> Result[Caller, Refusal]:
     """Return the caller whose key the header carries."""
     if authorization.startswith(BEARER):
         digest = digest_key(authorization[len(BEARER) :].strip())
         caller = world.config.callers_of_digest.get(digest)
-        known = caller.key_digests if caller is not None else ()
-        if any(hmac.compare_digest(digest, each) for each in known):
+        valid_digests = caller.key_digests if caller is not None else ()
+        if any(hmac.compare_digest(digest, each) for each in valid_digests):
             assert caller is not None
             return Ok(caller)
     return Err(
@@ -39,16 +39,16 @@
     )
 
 
-def find_rules(world: World, caller: str, adapter: str) -> list[Rule]:
+def list_matching_rules(world: World, caller: str, adapter: str) -> list[Rule]:
     """Return the rules that speak of a caller and an adapter."""
     table = world.config.rules_of_adapter
-    named = [*table.get(adapter, {}).values(), *table.get(ANY, {}).values()]
-    return [rule for rule in named if rule.matches(caller, adapter)]
+    candidates = [*table.get(adapter, {}).values(), *table.get(ANY, {}).values()]
+    return [rule for rule in candidates if rule.matches(caller, adapter)]
 
 
 def check_rules(world: World, caller: str, adapter: str) -> Refusal | None:
     """Return why a caller may not use an adapter, or none if it may."""
-    rules = find_rules(world, caller, adapter)
+    rules = list_matching_rules(world, caller, adapter)
     denied = [rule.name for rule in rules if rule.effect is Effect.DENY]
     if denied or not rules:
         why = f"rule {denied[0]} denies it" if denied else "no rule allows it"
@@ -63,6 +63,6 @@
             reason=RefusalReason.STALE_CONFIGURATION,
             outcome=Outcome.NOT_RUN,
             message="the rules cannot be confirmed to be the newest",
-            retry_after=STALE_COME_BACK,
+            retry_after=STALE_RETRY_AFTER,
         )
     return None
--- a/src/kestreltally/callers/reading.py
+++ b/src/kestreltally/callers/parsing.py
@@ -17,7 +17,7 @@
 )
 from kestreltally.entities.ids import (
     SERVICE,
-    VERSION_MARK,
+    VERSION_SEPARATOR,
     AdapterVersion,
     AttemptId,
     EndpointId,
@@ -38,13 +38,13 @@
 HEADER_DEADLINE: Final = "X-Deadline-Seconds"
 HEADER_PRIORITY: Final = "X-Priority"
 HEADER_NOT_REPEATABLE: Final = "X-Not-Repeatable"
-LONGEST_REQUEST_ID: Final = 128
-TRUE_WORDS: Final = frozenset({"1", "true", "yes"})
-FALSE_WORDS: Final = frozenset({"", "0", "false", "no"})
-PRIORITY_WORDS: Final = {each.name.lower(): each for each in Priority}
+MAX_REQUEST_ID_LENGTH: Final = 128
+TRUE_VALUES: Final = frozenset({"1", "true", "yes"})
+FALSE_VALUES: Final = frozenset({"", "0", "false", "no"})
+PRIORITIES_BY_NAME: Final = {each.name.lower(): each for each in Priority}
 COMPLETIONS: Final = "/v1/completions"
 CHAT: Final = "/v1/chat/completions"
-HOP_HEADERS: Final = frozenset(
+UNFORWARDED_HEADERS: Final = frozenset(
     {
         "authorization",
         "connection",
@@ -94,41 +94,43 @@
     )
 
 
-def read_headers(
+def parse_headers(
     world: World,
     caller: Caller,
     headers: Mapping[str, str],
 ) -> Result[Headers, Refusal]:
     """Return what the headers ask for, or which one is malformed."""
     request = headers.get(HEADER_REQUEST, "") or uuid4().hex
-    if len(request) > LONGEST_REQUEST_ID or not _is_plain(request):
+    if len(request) > MAX_REQUEST_ID_LENGTH or not _is_valid_id(request):
         return refuse(
             RefusalReason.MALFORMED,
-            f"{HEADER_REQUEST}: at most {LONGEST_REQUEST_ID} letters, digits, . _ -",
+            f"{HEADER_REQUEST}: at most {MAX_REQUEST_ID_LENGTH} letters, digits, . _ -",
         )
     limits = world.settings.limits
     deadline = limits.default_deadline
     if HEADER_DEADLINE in headers:
-        deadline = _read_number(headers[HEADER_DEADLINE])
+        deadline = _parse_number(headers[HEADER_DEADLINE])
         if not 0 < deadline <= limits.longest_deadline:
             return refuse(
                 RefusalReason.MALFORMED,
                 f"{HEADER_DEADLINE}: above 0 and at most {limits.longest_deadline}",
             )
-    word = headers.get(HEADER_PRIORITY, "").lower()
-    if word and word not in PRIORITY_WORDS:
+    priority_name = headers.get(HEADER_PRIORITY, "").lower()
+    if priority_name and priority_name not in PRIORITIES_BY_NAME:
         return refuse(
             RefusalReason.MALFORMED,
-            f"{HEADER_PRIORITY}: one of {', '.join(PRIORITY_WORDS)}",
+            f"{HEADER_PRIORITY}: one of {', '.join(PRIORITIES_BY_NAME)}",
         )
-    own = Priority(caller.priority)
-    priority = max(own, PRIORITY_WORDS.get(word, own))
-    once = headers.get(HEADER_NOT_REPEATABLE, "").lower()
-    if once not in TRUE_WORDS | FALSE_WORDS:
+    caller_priority = Priority(caller.priority)
+    priority = max(
+        caller_priority, PRIORITIES_BY_NAME.get(priority_name, caller_priority)
+    )
+    flag = headers.get(HEADER_NOT_REPEATABLE, "").lower()
+    if flag not in TRUE_VALUES | FALSE_VALUES:
         return refuse(
             RefusalReason.MALFORMED, f"{HEADER_NOT_REPEATABLE}: true or false"
         )
-    if once in TRUE_WORDS and HEADER_REQUEST not in headers:
+    if flag in TRUE_VALUES and HEADER_REQUEST not in headers:
         return refuse(
             RefusalReason.MALFORMED,
             f"{HEADER_REQUEST}: needed with {HEADER_NOT_REPEATABLE}",
@@ -138,16 +140,16 @@
             request=request,
             deadline=deadline,
             priority=priority,
-            not_repeatable=once in TRUE_WORDS,
+            not_repeatable=flag in TRUE_VALUES,
         )
     )
 
 
-def _is_plain(text: str) -> bool:
+def _is_valid_id(text: str) -> bool:
     return all(each.isascii() and (each.isalnum() or each in "._-") for each in text)
 
 
-def _read_number(text: str) -> float:
+def _parse_number(text: str) -> float:
     try:
         number = float(text)
     except ValueError:
@@ -155,18 +157,18 @@
     return number if math.isfinite(number) else -1.0
 
 
-def find_version(world: World, name: str) -> Result[tuple[Adapter, int], Refusal]:
+def resolve_version(world: World, name: str) -> Result[tuple[Adapter, int], Refusal]:
     """Return the adapter and version that a caller's ``model`` names."""
-    wanted = AdapterVersion(adapter=name, version=0)
-    if VERSION_MARK in name:
+    requested = AdapterVersion(adapter=name, version=0)
+    if VERSION_SEPARATOR in name:
         try:
-            wanted = parse_adapter_version(name)
+            requested = parse_adapter_version(name)
         except MalformedAdapter as error:
             return refuse(RefusalReason.MALFORMED, f"model: {error}")
-    adapter = world.config.find_adapter(wanted.adapter)
+    adapter = world.config.find_adapter(requested.adapter)
     if adapter is None:
         return refuse(RefusalReason.UNKNOWN_ADAPTER, f"model: no adapter {name!r}")
-    version = wanted.version or adapter.current
+    version = requested.version or adapter.current
     if version not in adapter.versions:
         known = ", ".join(map(str, adapter.versions)) or "none"
         return refuse(
@@ -181,7 +183,7 @@
     return RequestId(f"{caller.name}:{request}")
 
 
-def read_completion(
+def parse_completion(
     world: World,
     caller: Caller,
     path: str,
@@ -190,9 +192,9 @@
     now: Seconds,
 ) -> Result[tuple[CallerRequest, bool], Refusal]:
     """Return the request and whether it is to be streamed, or what is wrong."""
-    asked = read_headers(world, caller, headers)
-    if isinstance(asked, Err):
-        return asked
+    parsed_headers = parse_headers(world, caller, headers)
+    if isinstance(parsed_headers, Err):
+        return parsed_headers
     try:
         body = msgspec.json.decode(raw, type=CompletionBody)
         payload = msgspec.json.decode(raw, type=dict[str, Any])
@@ -202,27 +204,27 @@
     if missing:
         field = "messages" if path == CHAT else "prompt"
         return refuse(RefusalReason.MALFORMED, f"body: {field} is missing")
-    found = find_version(world, body.model)
+    found = resolve_version(world, body.model)
     if isinstance(found, Err):
         return found
     adapter, version = found.ok_value
     denied = check_rules(world, caller.name, adapter.name)
     if denied is not None:
         return Err(denied)
-    named = AdapterVersion(adapter=adapter.name, version=version)
-    candidates = list_candidates(world, adapter.model, named)
-    payload["model"] = str(named)
+    adapter_version = AdapterVersion(adapter=adapter.name, version=version)
+    candidates = list_candidates(world, adapter.model, adapter_version)
+    payload["model"] = str(adapter_version)
     payload["stream"] = True
-    options = asked.ok_value
+    caller_headers = parsed_headers.ok_value
     request = CallerRequest(
-        request=make_internal_id(caller, options.request),
+        request=make_internal_id(caller, caller_headers.request),
         caller=caller,
-        adapter=named,
+        adapter=adapter_version,
         candidates=candidates,
-        priority=options.priority,
-        repeatable=not options.not_repeatable,
+        priority=caller_headers.priority,
+        repeatable=not caller_headers.not_repeatable,
         received_at=now,
-        deadline_at=now + options.deadline,
+        deadline_at=now + caller_headers.deadline,
         revision=world.config.revision,
         path=path,
         payload=payload,
@@ -230,19 +232,19 @@
     return Ok((request, body.stream))
 
 
-def find_service(world: World, path: str) -> tuple[str, list[Endpoint]]:
+def match_service(world: World, path: str) -> tuple[str, list[Endpoint]]:
     """Return the longest prefix of plain services that fits a path, and those."""
-    found: dict[str, list[Endpoint]] = {}
+    services_by_prefix: dict[str, list[Endpoint]] = {}
     for spec in world.config.endpoints_of_model.get("", {}).values():
         prefix = spec.prefix.rstrip("/")
-        inside = path == prefix or path.startswith(prefix + "/")
-        if spec.kind is EndpointKind.SERVICE and prefix and inside:
-            found.setdefault(prefix, []).append(spec)
-    longest = max(found, key=len, default="")
-    return longest, found.get(longest, [])
+        is_under_prefix = path == prefix or path.startswith(prefix + "/")
+        if spec.kind is EndpointKind.SERVICE and prefix and is_under_prefix:
+            services_by_prefix.setdefault(prefix, []).append(spec)
+    longest = max(services_by_prefix, key=len, default="")
+    return longest, services_by_prefix.get(longest, [])
 
 
-def read_service_call(
+def parse_service_call(
     world: World,
     caller: Caller,
     method: str,
@@ -253,45 +255,45 @@
     now: Seconds,
 ) -> Result[CallerRequest, Refusal]:
     """Return the request to a plain service, or what is wrong with it."""
-    asked = read_headers(world, caller, headers)
-    if isinstance(asked, Err):
-        return asked
-    prefix, specs = find_service(world, path)
+    parsed_headers = parse_headers(world, caller, headers)
+    if isinstance(parsed_headers, Err):
+        return parsed_headers
+    prefix, specs = match_service(world, path)
     if not specs:
         return refuse(RefusalReason.UNKNOWN_ADAPTER, f"no service under {path}")
     denied = check_rules(world, caller.name, prefix)
     if denied is not None:
         return Err(denied)
-    options = asked.ok_value
-    by_rule = all(method in spec.repeatable_methods for spec in specs)
-    repeatable = by_rule and not options.not_repeatable
+    caller_headers = parsed_headers.ok_value
+    is_method_repeatable = all(method in spec.repeatable_methods for spec in specs)
+    repeatable = is_method_repeatable and not caller_headers.not_repeatable
     if not repeatable and HEADER_REQUEST not in headers:
         return refuse(
             RefusalReason.MALFORMED,
             f"{HEADER_REQUEST}: needed for {method}, which is not repeatable here",
         )
-    kept = {
+    forwarded = {
         name: value
         for name, value in headers.items()
-        if name.lower() not in HOP_HEADERS
+        if name.lower() not in UNFORWARDED_HEADERS
     }
     call = ServiceCall(
         attempt=AttemptId(""),
         method=method,
         path=path_and_query,
-        headers=kept,
+        headers=forwarded,
         body=raw,
     )
     return Ok(
         CallerRequest(
-            request=make_internal_id(caller, options.request),
+            request=make_internal_id(caller, caller_headers.request),
             caller=caller,
             adapter=SERVICE,
             candidates=tuple(EndpointId(spec.name) for spec in specs),
-            priority=options.priority,
+            priority=caller_headers.priority,
             repeatable=repeatable,
             received_at=now,
-            deadline_at=now + options.deadline,
+            deadline_at=now + caller_headers.deadline,
             revision=world.config.revision,
             path=path,
             call=call,
--- a/src/kestreltally/callers/sinks.py
+++ b/src/kestreltally/callers/sinks.py
@@ -7,7 +7,7 @@
 
 from kestreltally.ports import AnswerHead
 from kestreltally.requests.outcomes import Refusal
-from kestreltally.requests.relay import END_MARK, EVENT_END, AnswerEvent, read_events
+from kestreltally.requests.relay import END_MARK, EVENT_END, AnswerEvent, parse_events
 
 STREAM_HEADERS: Final = {
     "Content-Type": "text/event-stream",
@@ -43,23 +43,23 @@
 class StreamSink:
     """Hands an answer on as it comes."""
 
-    holds_back = False
+    is_buffered = False
 
     def __init__(self, http: web.Request, request: str) -> None:
         self._http = http
         self._request = request
         self.response: web.StreamResponse | None = None
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def start(self, head: AnswerHead) -> None:
         """Send the head of the response."""
         headers = {HEADER_REQUEST: self._request, **STREAM_HEADERS}
         if head.headers is not None:
-            kept = {
+            forwarded = {
                 name: value
                 for name, value in head.headers.items()
                 if name.lower() not in DROPPED_HEADERS
             }
-            headers = {**kept, HEADER_REQUEST: self._request}
+            headers = {**forwarded, HEADER_REQUEST: self._request}
         else:
             headers[HEADER_ADAPTER] = head.adapter
         self.response = web.StreamResponse(status=head.status, headers=headers)
@@ -70,7 +70,7 @@
         assert self.response is not None
         await self.response.write(data)
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """Nothing is held back here."""
 
     async def finish(self, with_end_mark: bool) -> web.StreamResponse:
@@ -81,7 +81,7 @@
         await self.response.write_eof()
         return self.response
 
-    async def break_off(self, refusal: Refusal, as_event: bool) -> web.StreamResponse:
+    async def abort(self, refusal: Refusal, as_event: bool) -> web.StreamResponse:
         """End an answer that is not whole so that the caller can see it."""
         assert self.response is not None
         if as_event:
@@ -93,31 +93,31 @@
         return self.response
 
 
-class WholeSink:
+class BufferedSink:
     """Holds an answer back until it is whole."""
 
-    holds_back = True
+    is_buffered = True
 
     def __init__(self) -> None:
-        self._parts: list[bytes] = []
+        self._chunks: list[bytes] = []
         self.head: AnswerHead | None = None
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def start(self, head: AnswerHead) -> None:
         """Keep the head."""
         self.head = head
 
     async def send(self, data: bytes) -> None:
         """Keep bytes."""
-        self._parts.append(data)
+        self._chunks.append(data)
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """Drop what was kept."""
-        self._parts.clear()
+        self._chunks.clear()
 
     def compose(self, request: str, chat: bool) -> dict[str, Any]:
         """Return the whole answer in the usual form of model servers."""
-        events = read_events(b"".join(self._parts))
-        text = "".join(_text_of(event) for event in events)
+        events = parse_events(b"".join(self._chunks))
+        text = "".join(_get_text(event) for event in events)
         ids = [id_ for event in events for c in event.choices for id_ in c.token_ids]
         reasons = [c.finish_reason for event in events for c in event.choices]
         finish = next((reason for reason in reversed(reasons) if reason), "stop")
@@ -135,7 +135,7 @@
         }
 
 
-def _text_of(event: AnswerEvent) -> str:
+def _get_text(event: AnswerEvent) -> str:
     return "".join(
         choice.text + choice.delta.get("content", "") for choice in event.choices
     )
--- a/src/kestreltally/daemon.py
+++ b/src/kestreltally/daemon.py
@@ -13,7 +13,7 @@
 import click
 from aiohttp import web
 
-from kestreltally.callers.surface import CallerSurface
+from kestreltally.callers.api import CallerApi
 from kestreltally.endpoints.engines import HttpEngineClient
 from kestreltally.endpoints.services import HttpServiceClient
 from kestreltally.entities.ids import DataCentre, Seconds, VmId
@@ -102,7 +102,7 @@
         self._claims = Claims(objects)
         self._requests = RequestServer(self._runtime, self._claims)
         metrics = Metrics()
-        callers = CallerSurface(self._runtime, self._requests, metrics)
+        callers = CallerApi(self._runtime, self._requests, metrics)
         self._operators = OperatorSurface(self._runtime, self._requests, metrics)
         self._callers_runner = web.AppRunner(
             callers.make_app(),
@@ -179,7 +179,7 @@
             if handed_over and not self._requests.live and not world.entry.held:
                 break
             await asyncio.sleep(STOP_POLL_INTERVAL)
-        self._requests.accepts = False
+        self._requests.is_accepting = False
         LOG.info(
             "daemon: planned stop ends with %d requests and %d endpoints left",
             len(self._requests.live),
--- a/src/kestreltally/endpoints/engines.py
+++ b/src/kestreltally/endpoints/engines.py
@@ -28,7 +28,7 @@
 FENCE_TIMEOUT: Final[Seconds] = 1.0
 STATUS_OK: Final = 200
 STATUS_FENCED: Final = 409
-REFUSING_STATUSES: Final = frozenset({400, 404, 409, 413, 422, 429, 503})
+NOT_RUN_STATUSES: Final = frozenset({400, 404, 409, 413, 422, 429, 503})
 HEADER_ATTEMPT: Final = "X-Attempt-Id"
 HEADER_ADAPTER: Final = "X-Adapter-Version"
 HEADER_PRIORITY: Final = "X-Priority"
@@ -36,7 +36,7 @@
 FENCED: Final = "fenced"
 
 
-class PlainReport(msgspec.Struct, frozen=True):
+class ReportBody(msgspec.Struct, frozen=True):
     """An engine's report as it comes; ``age`` is how old it is, in seconds."""
 
     instance: str
@@ -47,26 +47,26 @@
     leaving: bool = False
 
 
-class PlainRefusal(msgspec.Struct, frozen=True):
+class RefusalBody(msgspec.Struct, frozen=True):
     """An engine's refusal as it comes."""
 
     reason: str = "refused"
     retry_after: float = 0.0
 
 
-def read_report(raw: bytes, endpoint: str, asked_at: Seconds) -> EndpointReport:
+def parse_report(raw: bytes, endpoint: str, asked_at: Seconds) -> EndpointReport:
     """Return the typed report; raises ``msgspec.MsgspecError`` or ``ValueError``."""
-    plain = msgspec.json.decode(raw, type=PlainReport)
+    body = msgspec.json.decode(raw, type=ReportBody)
     return EndpointReport(
         endpoint=EndpointId(endpoint),
-        instance=plain.instance,
-        composed_at=asked_at - plain.age,
-        fence=plain.fence,
-        loaded=frozenset(parse_adapter_version(name) for name in plain.loaded),
+        instance=body.instance,
+        composed_at=asked_at - body.age,
+        fence=body.fence,
+        loaded=frozenset(parse_adapter_version(name) for name in body.loaded),
         running={
-            parse_adapter_version(name): count for name, count in plain.running.items()
+            parse_adapter_version(name): count for name, count in body.running.items()
         },
-        leaving=plain.leaving,
+        leaving=body.leaving,
     )
 
 
@@ -85,22 +85,22 @@
             raw = await response.read()
             if response.status != STATUS_OK:
                 return None
-        return read_report(raw, endpoint, asked_at)
+        return parse_report(raw, endpoint, asked_at)
     except (ClientError, TimeoutError, msgspec.MsgspecError, ValueError):
         return None
 
 
-def read_refusal(raw: bytes) -> PlainRefusal:
+def parse_refusal(raw: bytes) -> RefusalBody:
     """Return what an endpoint said when it refused."""
     try:
-        return msgspec.json.decode(raw, type=PlainRefusal)
+        return msgspec.json.decode(raw, type=RefusalBody)
     except msgspec.MsgspecError:
-        return PlainRefusal()
+        return RefusalBody()
 
 
 async def raise_refusal(
     response: ClientResponse,
-    refusing: frozenset[int],
+    not_run_statuses: frozenset[int],
 ) -> NoReturn:
     """Raise what a status other than success means.
 
@@ -111,9 +111,9 @@
         raw = await response.read()
     except ClientError as error:
         raise AttemptLost(repr(error)) from error
-    if response.status not in refusing:
+    if response.status not in not_run_statuses:
         raise AttemptLost(f"status {response.status}")
-    refusal = read_refusal(raw)
+    refusal = parse_refusal(raw)
     raise EndpointRefused(refusal.reason, refusal.retry_after)
 
 
@@ -123,7 +123,7 @@
     def __init__(self, session: ClientSession) -> None:
         self._session = session
 
-    async def _order(
+    async def _send_order(
         self,
         url: str,
         name: str,
@@ -144,13 +144,13 @@
             return OrderOutcome.UNKNOWN
         if status == STATUS_OK:
             return OrderOutcome.DONE
-        if status == STATUS_FENCED and read_refusal(raw).reason == FENCED:
+        if status == STATUS_FENCED and parse_refusal(raw).reason == FENCED:
             return OrderOutcome.FENCED_OFF
         return OrderOutcome.REFUSED
 
     async def raise_fence(self, url: str, token: int) -> OrderOutcome:
         """Make the engine refuse orders with a smaller token."""
-        return await self._order(url, "fence", {"token": token}, FENCE_TIMEOUT)
+        return await self._send_order(url, "fence", {"token": token}, FENCE_TIMEOUT)
 
     async def load(
         self,
@@ -160,7 +160,7 @@
     ) -> OrderOutcome:
         """Load an adapter version; returns when it is loaded or has failed."""
         body = {"adapter": str(adapter), "token": token}
-        return await self._order(url, "load", body)
+        return await self._send_order(url, "load", body)
 
     async def unload(
         self,
@@ -170,7 +170,7 @@
     ) -> OrderOutcome:
         """Unload an adapter version."""
         body = {"adapter": str(adapter), "token": token}
-        return await self._order(url, "unload", body)
+        return await self._send_order(url, "unload", body)
 
     async def report(self, endpoint: str, url: str) -> EndpointReport | None:
         """Return the engine's report, or none."""
@@ -198,7 +198,7 @@
         except ClientError as error:
             raise AttemptLost(repr(error)) from error
         if response.status != STATUS_OK:
-            await raise_refusal(response, REFUSING_STATUSES)
+            await raise_refusal(response, NOT_RUN_STATUSES)
         head = AnswerHead(
             attempt=response.headers.get(HEADER_ATTEMPT, ""),
             adapter=response.headers.get(HEADER_ADAPTER, ""),
--- a/src/kestreltally/entities/configuration.py
+++ b/src/kestreltally/entities/configuration.py
@@ -152,12 +152,12 @@
     change: str = ""
 
 
-def key_of(kind: str, name: str) -> str:
+def make_config_key(kind: str, name: str) -> str:
     """Return the key in the object API of one object."""
     return f"{CONFIG_PREFIX}{kind}/{name}"
 
 
-def read_config_object(key: str, value: Any, revision: Revision) -> ConfigObject:
+def parse_config_object(key: str, value: Any, revision: Revision) -> ConfigObject:
     """Return the checked object that the object API holds under ``key``.
 
     Raises ``MalformedObject``, naming the key and the field.
@@ -167,25 +167,25 @@
         raise MalformedObject(f"{key}: the kind is not one of {', '.join(KINDS)}")
     try:
         stored = msgspec.convert(value, StoredConfig)
-        read = None
+        parsed = None
         if stored.value is not None:
-            read = msgspec.convert(stored.value, KINDS[kind])
+            parsed = msgspec.convert(stored.value, KINDS[kind])
     except msgspec.ValidationError as error:
         raise MalformedObject(f"{key}: {error}") from error
-    if read is not None and read.name != name:
-        raise MalformedObject(f"{key}: the value is named {read.name!r}")
+    if parsed is not None and parsed.name != name:
+        raise MalformedObject(f"{key}: the value is named {parsed.name!r}")
     return ConfigObject(
         kind=kind,
         name=name,
         revision=revision,
-        value=read,
+        value=parsed,
         by=stored.by,
         at=stored.at,
         change=stored.change,
     )
 
 
-def write_config_object(changed: ConfigObject) -> dict[str, Any]:
+def encode_config_object(changed: ConfigObject) -> dict[str, Any]:
     """Return the plain form in which the object API keeps an object."""
     value = None if changed.value is None else msgspec.to_builtins(changed.value)
     stored = StoredConfig(
@@ -194,5 +194,5 @@
         change=changed.change,
         value=value,
     )
-    plain: dict[str, Any] = msgspec.to_builtins(stored)
-    return plain
+    encoded: dict[str, Any] = msgspec.to_builtins(stored)
+    return encoded
--- a/src/kestreltally/entities/endpoints.py
+++ b/src/kestreltally/entities/endpoints.py
@@ -48,18 +48,18 @@
 class Offer:
     """A leader's offer of its endpoint, good for one version of the record.
 
-    ``unloads_after`` is local monotonic seconds; ``unsure`` names the adapters
+    ``unloads_allowed_at`` is local monotonic seconds; ``unsure`` names the adapters
     whose use the former leader could not vouch for.
     """
 
     version: int
     permits: tuple[GrantedPermit, ...]
-    unloads_after: Seconds
+    unloads_allowed_at: Seconds
     unsure: frozenset[AdapterVersion]
 
 
 @dataclass(frozen=True, slots=True)
-class Claiming:
+class PendingClaim:
     """A claim under way."""
 
     since: Seconds
@@ -79,7 +79,7 @@
 class Slot:
     """An adapter version held by an endpoint.
 
-    ``look_after``: while above zero, only a report composed later than it may
+    ``report_required_after``: while above zero, only a report composed later than it may
     show that nothing runs; it is set when a holder's word cannot be had.
     """
 
@@ -88,7 +88,7 @@
     used_at: Seconds
     closing: bool = False
     unloading: bool = False
-    look_after: Seconds = 0.0
+    report_required_after: Seconds = 0.0
     ordered_at: Seconds = 0.0
 
 
@@ -97,7 +97,7 @@
     """A leader's own state of one endpoint.
 
     ``changed_at`` is when an order last changed what is loaded: an older report
-    cannot tell what is there now. ``orders_after`` and ``unloads_after`` bar orders
+    cannot tell what is there now. ``orders_allowed_at`` and ``unloads_allowed_at`` bar orders
     until earlier leaders' orders and permits have surely run out. All times are
     local monotonic seconds.
     """
@@ -107,16 +107,16 @@
     phase: Phase
     since: Seconds
     confirmed_at: Seconds
-    orders_after: Seconds = 0.0
-    unloads_after: Seconds = 0.0
+    orders_allowed_at: Seconds = 0.0
+    unloads_allowed_at: Seconds = 0.0
     changed_at: Seconds = 0.0
     instance: str = ""
     slots: Mapping[AdapterVersion, Slot] = field(default_factory=dict)
     report: EndpointReport | None = None
-    report_asked_at: Seconds = NEVER
-    fence_asked_at: Seconds = NEVER
-    handed_at: Seconds = NEVER
-    confirm_asked_at: Seconds = NEVER
+    report_requested_at: Seconds = NEVER
+    fence_requested_at: Seconds = NEVER
+    handed_over_at: Seconds = NEVER
+    confirm_requested_at: Seconds = NEVER
     leaving: bool = False
     service_time: Seconds = 1.0
     unsure: frozenset[AdapterVersion] = frozenset()
@@ -130,7 +130,7 @@
     loaded: frozenset[AdapterVersion]
     occupied: int
     queued: int
-    heard_at: Seconds
+    received_at: Seconds
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/kestreltally/entities/ids.py
+++ b/src/kestreltally/entities/ids.py
@@ -16,7 +16,7 @@
 Epoch = int
 Revision = int
 
-VERSION_MARK = "@"
+VERSION_SEPARATOR = "@"
 NEVER: Final[Seconds] = -1e9
 
 
@@ -36,7 +36,7 @@
     version: int
 
     def __str__(self) -> str:
-        return f"{self.adapter}{VERSION_MARK}{self.version}"
+        return f"{self.adapter}{VERSION_SEPARATOR}{self.version}"
 
 
 SERVICE = AdapterVersion(adapter="", version=0)
@@ -51,7 +51,7 @@
 
     Raises ``MalformedAdapter`` for anything else.
     """
-    name, mark, version = text.rpartition(VERSION_MARK)
-    if not mark or not version.isdecimal():
+    name, separator, version = text.rpartition(VERSION_SEPARATOR)
+    if not separator or not version.isdecimal():
         raise MalformedAdapter(f"{text!r} is not of the form name@version")
     return AdapterVersion(adapter=name, version=int(version))
--- a/src/kestreltally/entities/members.py
+++ b/src/kestreltally/entities/members.py
@@ -33,7 +33,7 @@
     changed_at: Seconds = 0.0
     acked_at: Seconds = NEVER
 
-    def age_key(self) -> tuple[int, int, int]:
+    def precedence_key(self) -> tuple[int, int, int]:
         """Return what orders two rumours about one VM."""
         return (self.incarnation, self.counter, int(self.state))
 
--- a/src/kestreltally/entities/permits.py
+++ b/src/kestreltally/entities/permits.py
@@ -39,7 +39,7 @@
     state: PermitState = PermitState.OPEN
     running: int = 0
 
-    def occupies(self) -> int:
+    def count_batch_slots(self) -> int:
         """Return how many places of the batch the permit takes."""
         return self.running if self.state is PermitState.RETURNED else self.count
 
@@ -63,7 +63,7 @@
     idle_since: Seconds = 0.0
     returned: bool = False
     unsure: bool = False
-    told_at: Seconds = NEVER
+    reported_at: Seconds = NEVER
 
     def has_free_capacity(self, now: Seconds) -> bool:
         """Tell whether a request may start under the permit."""
@@ -71,13 +71,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class Waiter:
     """A request at an entry daemon that waits for a permit.
 
     ``sent_at`` holds when the ask went out, once for each turn.
     """
 
-    want: str
+    waiter: str
     request: RequestId
     adapter: AdapterVersion
     candidates: tuple[EndpointId, ...]
@@ -87,7 +87,7 @@
     ask: AskId | None = None
     endpoint: EndpointId | None = None
     sent_at: tuple[Seconds, ...] = ()
-    heard_at: Seconds = 0.0
+    received_at: Seconds = 0.0
     hints_followed: int = 0
     avoid: frozenset[EndpointId] = frozenset()
     last_reason: str = ""
@@ -128,7 +128,7 @@
     urgency: float
     asked_at: Seconds = NEVER
     victim: AdapterVersion | None = None
-    budget_from: VmId | None = None
+    budget_leader: VmId | None = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/kestreltally/metrics.py
+++ b/src/kestreltally/metrics.py
@@ -82,7 +82,7 @@
             "permits_granted": len(world.book.permits),
             "permits_held": len(world.entry.held),
             "loads": len(world.book.loads),
-            "requests_waiting": len(world.entry.wants),
+            "requests_waiting": len(world.entry.waiters),
         }
         for table, count in rows.items():
             self._gauge.set({"table": table}, count)
--- a/src/kestreltally/objectapi/records.py
+++ b/src/kestreltally/objectapi/records.py
@@ -10,7 +10,7 @@
 from kestreltally.entities.configuration import (
     ConfigObject,
     MalformedObject,
-    read_config_object,
+    parse_config_object,
 )
 from kestreltally.entities.endpoints import LeaderRecord
 from kestreltally.entities.ids import EndpointId, VmId
@@ -54,7 +54,7 @@
     objects = []
     for each in stored:
         try:
-            objects.append(read_config_object(each.key, each.value, each.revision))
+            objects.append(parse_config_object(each.key, each.value, each.revision))
         except MalformedObject as error:
             LOG.error("platform: configuration left out: %s", error)
     return tuple(objects)
--- a/src/kestreltally/operators/reading.py
+++ b/src/kestreltally/operators/reading.py
@@ -9,7 +9,7 @@
 from kestreltally.entities.configuration import (
     CONFIG_PREFIX,
     MalformedObject,
-    read_config_object,
+    parse_config_object,
 )
 from kestreltally.operators.statements import Condition, Show
 from kestreltally.ports import ObjectApi
@@ -85,7 +85,7 @@
         rows: list[Row] = []
         for stored in sorted(listing.objects, key=lambda each: each.key):
             try:
-                read = read_config_object(stored.key, stored.value, stored.revision)
+                read = parse_config_object(stored.key, stored.value, stored.revision)
             except MalformedObject as error:
                 rows.append({"name": stored.key, "error": str(error)})
                 continue
--- a/src/kestreltally/operators/surface.py
+++ b/src/kestreltally/operators/surface.py
@@ -104,7 +104,7 @@
             "adapter": str(permit.adapter),
             "holder": permit.holder,
             "state": permit.state.value,
-            "places": permit.occupies(),
+            "places": permit.count_batch_slots(),
             "ends_in": round(permit.expires_at - world.now, 3),
         }
         for permit in world.book.permits.values()
--- a/src/kestreltally/operators/writing.py
+++ b/src/kestreltally/operators/writing.py
@@ -24,9 +24,9 @@
     Effect,
     Endpoint,
     Rule,
-    key_of,
-    read_config_object,
-    write_config_object,
+    encode_config_object,
+    make_config_key,
+    parse_config_object,
 )
 from kestreltally.operators.statements import (
     Alter,
@@ -194,7 +194,7 @@
     ) -> Result[ChangeMade, ChangeRefused]:
         """Make a change, or only work it out."""
         kind, name = find_object_of(change)
-        key = key_of(kind, name)
+        key = make_config_key(kind, name)
         try:
             stored = await self._objects.read(key)
         except PlatformError as error:
@@ -218,7 +218,7 @@
     def _read(self, key: str, stored: StoredObject) -> ConfigObject | None:
         if stored.version == 0:
             return None
-        return read_config_object(key, stored.value, stored.revision)
+        return parse_config_object(key, stored.value, stored.revision)
 
     def _refuse(self, failure: ChangeFailure, message: str) -> Err[ChangeRefused]:
         return Err(ChangeRefused(failure=failure, message=message))
@@ -239,7 +239,7 @@
             change=uuid4().hex,
         )
         try:
-            plain = write_config_object(changed)
+            plain = encode_config_object(changed)
             written = await self._objects.write(key, plain, version)
         except ObjectApiDown as error:
             return self._refuse(ChangeFailure.UNAVAILABLE, f"nothing changed: {error}")
@@ -293,7 +293,7 @@
                 current = await self._objects.read(key)
                 if current.version != version:
                     return self._judge_conflict(key, made, changed, current)
-                plain = write_config_object(changed)
+                plain = encode_config_object(changed)
                 written = await self._objects.write(key, plain, version)
                 if isinstance(written, Ok):
                     return Ok(replace(made, revision=written.ok_value.revision))
--- a/src/kestreltally/orders.py
+++ b/src/kestreltally/orders.py
@@ -20,7 +20,7 @@
     VmId,
 )
 from kestreltally.entities.members import ListedVm
-from kestreltally.entities.permits import HeldPermit, Want
+from kestreltally.entities.permits import HeldPermit, Waiter
 from kestreltally.peers.messages import PeerMessage
 
 
@@ -202,17 +202,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WantAdded:
+class WaiterAdded:
     """A request started waiting for a permit."""
 
-    want: Want
+    waiter: Waiter
 
 
 @dataclass(frozen=True, slots=True)
-class WantDropped:
+class WaiterDropped:
     """A request stopped waiting for a permit."""
 
-    want: str
+    waiter: str
 
 
 class UseEnd(Enum):
@@ -265,8 +265,8 @@
     | ReportFetched
     | ConfigArrived
     | VmsListed
-    | WantAdded
-    | WantDropped
+    | WaiterAdded
+    | WaiterDropped
     | PermitUsed
     | EndpointFailed
     | EndpointServed
@@ -296,20 +296,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WantGranted:
+class WaiterGranted:
     """The request may run under this permit."""
 
-    want: str
+    waiter: str
     permit: HeldPermit
 
 
 @dataclass(frozen=True, slots=True)
-class WantRefused:
+class WaiterRefused:
     """The request does not get a permit; ``retry_after`` is in seconds."""
 
-    want: str
+    waiter: str
     reason: RefusalReason
     retry_after: Seconds
 
 
-WantAnswer = WantGranted | WantRefused
+WantAnswer = WaiterGranted | WaiterRefused
--- a/src/kestreltally/requests/attempts.py
+++ b/src/kestreltally/requests/attempts.py
@@ -20,17 +20,17 @@
 class Sink(Protocol):
     """Where the answer goes."""
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def start(self, head: AnswerHead) -> None:
         """Tell the caller that an answer comes."""
 
     async def send(self, data: bytes) -> None:
         """Hand bytes of the answer on."""
 
     @property
-    def holds_back(self) -> bool:
+    def is_buffered(self) -> bool:
         """Tell whether nothing reaches the caller before the end."""
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """Drop what was held back: the answer starts anew."""
 
 
@@ -58,28 +58,28 @@
 class AttemptEnd(Enum):
     """How one attempt ended."""
 
-    WHOLE = "whole"
+    COMPLETE = "whole"
     NOT_RUN = "not run"
     LOST = "lost"
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The end of one attempt; ``elsewhere`` asks to avoid the endpoint."""
+    """The end of one attempt; ``avoid_endpoint`` asks to avoid the endpoint."""
 
     end: AttemptEnd
     fault: str = ""
-    elsewhere: bool = False
+    avoid_endpoint: bool = False
     retry_after: Seconds = 0.0
 
 
 @dataclass
-class Way:
+class RequestProgress:
     """What has happened to a request so far."""
 
-    sent_maybe_run: int = 0
+    possibly_run_attempts: int = 0
     attempts: int = 0
-    begun: bool = False
+    answer_started: bool = False
     avoid: frozenset[EndpointId] = frozenset()
     token_ids: tuple[int, ...] = ()
     cannot_resume: bool = False
--- a/src/kestreltally/requests/claims.py
+++ b/src/kestreltally/requests/claims.py
@@ -29,10 +29,10 @@
 
 LOG = logging.getLogger("kestreltally.claims")
 CLAIM_PREFIX: Final = "claim/"
-READ_BACK_TRIES: Final = 3
+READ_BACK_ATTEMPTS: Final = 3
 READ_BACK_WAIT: Final[Seconds] = 0.1
-COME_BACK_AFTER: Final[Seconds] = 2.0
-RELEASE_WITHIN: Final[Seconds] = 1.0
+RETRY_AFTER: Final[Seconds] = 2.0
+RELEASE_TIMEOUT: Final[Seconds] = 1.0
 
 
 @dataclass(frozen=True)
@@ -60,25 +60,25 @@
     return CLAIM_PREFIX + xxh3_128_hexdigest(f"{caller}\0{request}".encode())
 
 
-def _read_value(stored: StoredObject) -> ClaimValue | None:
+def _parse_value(stored: StoredObject) -> ClaimValue | None:
     try:
         return msgspec.convert(stored.value, ClaimValue)
     except msgspec.ValidationError:
         return None
 
 
-def _refuse_unavailable(message: str) -> Err[Refusal]:
+def _make_unavailable_refusal(message: str) -> Err[Refusal]:
     return Err(
         Refusal(
             reason=RefusalReason.CLAIMS_UNAVAILABLE,
             outcome=Outcome.NOT_RUN,
             message=message,
-            retry_after=COME_BACK_AFTER,
+            retry_after=RETRY_AFTER,
         )
     )
 
 
-def _refuse_duplicate() -> Err[Refusal]:
+def _make_duplicate_refusal() -> Err[Refusal]:
     return Err(
         Refusal(
             reason=RefusalReason.DUPLICATE,
@@ -94,10 +94,10 @@
     def __init__(
         self,
         objects: ObjectApi,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self._objects = objects
-        self._wall_clock = wall
+        self._wall_clock = wall_clock
 
     async def claim(
         self,
@@ -121,19 +121,19 @@
         value: ClaimValue,
         expected_version: int,
     ) -> Result[Claim, Refusal]:
-        plain: Any = msgspec.to_builtins(value)
+        encoded: Any = msgspec.to_builtins(value)
         try:
-            written = await self._objects.write(key, plain, expected_version)
+            written = await self._objects.write(key, encoded, expected_version)
         except ObjectApiDown:
-            return _refuse_unavailable("the request id cannot be claimed now")
+            return _make_unavailable_refusal("the request id cannot be claimed now")
         except AnswerLost:
-            return await self._resolve(key, value)
+            return await self._resolve_lost_answer(key, value)
         if isinstance(written, Ok):
             version = written.ok_value.version
             return Ok(Claim(key=key, value=value, version=version))
-        return await self._judge_conflict(key, value, written.err_value)
+        return await self._resolve_conflict(key, value, written.err_value)
 
-    async def _judge_conflict(
+    async def _resolve_conflict(
         self,
         key: str,
         value: ClaimValue,
@@ -143,43 +143,47 @@
         current = conflict.current
         if current.version == 0:
             return await self._write(key, value, expected_version=0)
-        held = _read_value(current)
-        if held is not None and held.claimant == value.claimant:
+        existing = _parse_value(current)
+        if existing is not None and existing.claimant == value.claimant:
             return Ok(Claim(key=key, value=value, version=current.version))
-        if held is not None and held.released:
+        if existing is not None and existing.released:
             return await self._write(key, value, expected_version=current.version)
-        return _refuse_duplicate()
+        return _make_duplicate_refusal()
 
-    async def _resolve(self, key: str, value: ClaimValue) -> Result[Claim, Refusal]:
+    async def _resolve_lost_answer(
+        self, key: str, value: ClaimValue
+    ) -> Result[Claim, Refusal]:
         """Find out by reading whether a write with a lost answer took effect.
 
         A write that has not arrived yet may still do so: then nobody can claim
         the id any more, which is safe.
         """
-        for _ in range(READ_BACK_TRIES):
+        for _ in range(READ_BACK_ATTEMPTS):
             try:
                 stored = await self._objects.read(key)
             except PlatformError:
                 await asyncio.sleep(READ_BACK_WAIT)
                 continue
-            held = _read_value(stored) if stored.version else None
-            if held is not None and held.claimant == value.claimant:
+            existing = _parse_value(stored) if stored.version else None
+            if existing is not None and existing.claimant == value.claimant:
                 return Ok(Claim(key=key, value=value, version=stored.version))
-            if stored.version and (held is None or not held.released):
-                return _refuse_duplicate()
+            if stored.version and (existing is None or not existing.released):
+                return _make_duplicate_refusal()
             break
-        return _refuse_unavailable("whether the request id is claimed is not known")
+        return _make_unavailable_refusal(
+            "whether the request id is claimed is not known"
+        )
 
     async def release(self, claim: Claim) -> None:
         """Give a claim back for a request that surely did not run.
 
         Where that fails the id stays claimed, which is safe.
         """
-        plain: Any = msgspec.to_builtins(replace(claim.value, released=True))
+        encoded: Any = msgspec.to_builtins(replace(claim.value, released=True))
         try:
             await asyncio.wait_for(
-                self._objects.write(claim.key, plain, claim.version),
-                RELEASE_WITHIN,
+                self._objects.write(claim.key, encoded, claim.version),
+                RELEASE_TIMEOUT,
             )
         except (PlatformError, TimeoutError) as error:
             LOG.warning("claims: %s stays claimed: %s", claim.value.request, error)
@@ -189,8 +193,8 @@
         listing = await self._objects.list(CLAIM_PREFIX)
         deleted = 0
         for stored in listing.objects:
-            held = _read_value(stored)
-            if held is None or self._wall_clock() - held.at <= retention:
+            existing = _parse_value(stored)
+            if existing is None or self._wall_clock() - existing.at <= retention:
                 continue
             if await self._objects.delete(stored.key, stored.version):
                 deleted += 1
--- a/src/kestreltally/requests/flow.py
+++ b/src/kestreltally/requests/flow.py
@@ -14,7 +14,7 @@
     RequestId,
     Seconds,
 )
-from kestreltally.entities.permits import HeldPermit, Want
+from kestreltally.entities.permits import HeldPermit, Waiter
 from kestreltally.invariants import declare_invariant
 from kestreltally.orders import (
     EndpointFailed,
@@ -22,7 +22,7 @@
     PermitUsed,
     RefusalReason,
     UseEnd,
-    WantRefused,
+    WaiterRefused,
 )
 from kestreltally.ports import (
     Answer,
@@ -36,19 +36,19 @@
     AttemptEnd,
     AttemptResult,
     CallerRequest,
+    RequestProgress,
     Sink,
-    Way,
 )
 from kestreltally.requests.claims import Claim, Claims
 from kestreltally.requests.limits import CallerLimits, RetryBudget
 from kestreltally.requests.outcomes import Outcome, Refusal
-from kestreltally.requests.relay import Relay, WronglyNamed
+from kestreltally.requests.relay import AdapterMismatch, Relay
 from kestreltally.requests.states import (
-    FINAL,
+    FINAL_STAGES,
     RequestRecord,
     Stage,
     Step,
-    next_stage,
+    get_next_stage,
 )
 from kestreltally.runtime import Runtime
 from kestreltally.systems.granting import FAULT_WRONG_VERSION
@@ -56,11 +56,11 @@
 from kestreltally.systems.membership import list_eligible
 
 PART: Final = "request"
-COME_BACK_AFTER: Final[Seconds] = 1.0
+RETRY_AFTER: Final[Seconds] = 1.0
 FAULT_NOT_REACHED: Final = "not_reached"
-FAULT_LOST: Final = "answer_lost"
-FAULT_SLOW: Final = "no_progress"
-SHED_SHARE: Final = {
+FAULT_ANSWER_LOST: Final = "answer_lost"
+FAULT_NO_PROGRESS: Final = "no_progress"
+SHED_FRACTION: Final = {
     Priority.INTERACTIVE: 1.0,
     Priority.STANDARD: 0.9,
     Priority.BATCH: 0.7,
@@ -96,45 +96,47 @@
         self._claims = claims
         self._limits = CallerLimits()
         now = runtime.world.now
-        self._retries = RetryBudget(runtime.world.settings.limits.retry_share, now)
+        self._retry_budget = RetryBudget(runtime.world.settings.limits.retry_share, now)
         self.live: dict[RequestId, RequestRecord] = {}
-        self.accepts = True
+        self.is_accepting = True
 
     # The whole way
 
     async def serve(self, request: CallerRequest, sink: Sink) -> Result[None, Refusal]:
         """Serve a request; return none, or why there is no whole answer."""
-        refused = self._enter(request)
+        refused = self._admit(request)
         if refused is not None:
             return Err(refused)
-        way = Way()
+        progress = RequestProgress()
         try:
-            result = await self._serve_claimed(request, sink, way)
+            result = await self._serve_claimed(request, sink, progress)
         except BaseException:
             self._close(request, Step.FAIL, "the caller is gone")
             raise
         finally:
-            self._limits.leave(request.caller)
+            self._limits.release(request.caller)
             self.live.pop(request.request, None)
         return result
 
-    def _enter(self, request: CallerRequest) -> Refusal | None:
+    def _admit(self, request: CallerRequest) -> Refusal | None:
         """Count a request in, or return why it is refused before anything is done."""
         if request.request in self.live:
-            return self._refuse(RefusalReason.DUPLICATE, Outcome.UNKNOWN, "in progress")
-        shed = self._shed(request)
-        if shed is not None:
-            return shed
-        daemons = len(list_eligible(self._runtime.world))
-        wait = self._limits.enter(request.caller, daemons, self._runtime.clock())
+            return self._make_refusal(
+                RefusalReason.DUPLICATE, Outcome.UNKNOWN, "in progress"
+            )
+        refusal = self._check_daemon_load(request)
+        if refusal is not None:
+            return refusal
+        daemon_count = len(list_eligible(self._runtime.world))
+        wait = self._limits.acquire(request.caller, daemon_count, self._runtime.clock())
         if wait is not None:
-            return self._refuse(
+            return self._make_refusal(
                 RefusalReason.CALLER_LIMIT,
                 Outcome.NOT_RUN,
                 f"caller {request.caller.name} is over its limit",
                 wait,
             )
-        self._retries.note_request()
+        self._retry_budget.record_request()
         self.live[request.request] = RequestRecord(
             request=request.request,
             caller=request.caller.name,
@@ -144,36 +146,36 @@
             revision=request.revision,
             since=request.received_at,
         )
-        self._tell(
+        self._add_event(
             request,
             "received",
             reason=f"revision {request.revision}",
             detail=f"caller {request.caller.name}, priority {request.priority.name}",
         )
-        self._step(request, Step.ADMIT)
+        self._apply_step(request, Step.ADMIT)
         return None
 
-    def _shed(self, request: CallerRequest) -> Refusal | None:
+    def _check_daemon_load(self, request: CallerRequest) -> Refusal | None:
         limits = self._runtime.world.settings.limits
-        share = SHED_SHARE[request.priority]
-        waiting = len(self._runtime.world.entry.wants)
+        fraction = SHED_FRACTION[request.priority]
+        waiting = len(self._runtime.world.entry.waiters)
         if (
-            len(self.live) < limits.concurrent_requests * share
-            and waiting < limits.waiting_requests * share
+            len(self.live) < limits.concurrent_requests * fraction
+            and waiting < limits.waiting_requests * fraction
         ):
             return None
-        return self._refuse(
+        return self._make_refusal(
             RefusalReason.DAEMON_LIMIT,
             Outcome.NOT_RUN,
             "this daemon is full for requests of this priority",
-            COME_BACK_AFTER,
+            RETRY_AFTER,
         )
 
     async def _serve_claimed(
         self,
         request: CallerRequest,
         sink: Sink,
-        way: Way,
+        progress: RequestProgress,
     ) -> Result[None, Refusal]:
         claim: Claim | None = None
         if not request.repeatable:
@@ -183,12 +185,12 @@
                 self._close(request, Step.REFUSE, refusal.reason.value)
                 return claimed
             claim = claimed.ok_value
-        result = await self._serve_in_time(request, sink, way)
+        result = await self._serve_before_deadline(request, sink, progress)
         if isinstance(result, Err):
-            refusal = self._check_outcome(request, way, result.err_value)
+            refusal = self._check_outcome(request, progress, result.err_value)
             if claim is not None and refusal.outcome is Outcome.NOT_RUN:
                 await self._claims.release(claim)
-            step = Step.REFUSE if way.sent_maybe_run == 0 else Step.FAIL
+            step = Step.REFUSE if progress.possibly_run_attempts == 0 else Step.FAIL
             self._close(request, step, f"{refusal.reason.value}: {refusal.message}")
             return Err(refusal)
         self._close(request, Step.FINISH, "")
@@ -196,7 +198,7 @@
 
     async def _claim(self, request: CallerRequest) -> Result[Claim, Refusal]:
         claimant = f"{self._runtime.world.identity.vm}/{uuid4()}"
-        self._tell(request, "claims its id", reason="not repeatable")
+        self._add_event(request, "claims its id", reason="not repeatable")
         try:
             async with asyncio.timeout_at(request.deadline_at):
                 return await self._claims.claim(
@@ -205,106 +207,110 @@
                     claimant,
                 )
         except TimeoutError:
-            refusal = self._refuse(
+            refusal = self._make_refusal(
                 RefusalReason.CLAIMS_UNAVAILABLE,
                 Outcome.NOT_RUN,
                 "the request id could not be claimed in time",
-                COME_BACK_AFTER,
+                RETRY_AFTER,
             )
             return Err(refusal)
 
-    async def _serve_in_time(
+    async def _serve_before_deadline(
         self,
         request: CallerRequest,
         sink: Sink,
-        way: Way,
+        progress: RequestProgress,
     ) -> Result[None, Refusal]:
         try:
             async with asyncio.timeout_at(request.deadline_at):
-                return await self._try_until_whole(request, sink, way)
+                return await self._try_until_complete(request, sink, progress)
         except TimeoutError:
-            refusal = self._refuse(
+            refusal = self._make_refusal(
                 RefusalReason.DEADLINE,
-                self._outcome_of(way),
+                self._get_outcome(progress),
                 "the deadline is over",
-                COME_BACK_AFTER,
+                RETRY_AFTER,
             )
             return Err(refusal)
 
-    async def _try_until_whole(
+    async def _try_until_complete(
         self,
         request: CallerRequest,
         sink: Sink,
-        way: Way,
+        progress: RequestProgress,
     ) -> Result[None, Refusal]:
         while True:
-            answer = await self._runtime.acquire(self._make_want(request, way))
-            if isinstance(answer, WantRefused):
-                refusal = self._refuse(
+            answer = await self._runtime.acquire(self._make_waiter(request, progress))
+            if isinstance(answer, WaiterRefused):
+                refusal = self._make_refusal(
                     answer.reason,
-                    self._outcome_of(way),
+                    self._get_outcome(progress),
                     "no endpoint could take the request",
                     answer.retry_after,
                 )
                 return Err(refusal)
-            result = await self._attempt(request, answer.permit, sink, way)
-            if result.end is AttemptEnd.WHOLE:
+            result = await self._attempt(request, answer.permit, sink, progress)
+            if result.end is AttemptEnd.COMPLETE:
                 return Ok(None)
-            refused = self._judge_failure(request, way, result, sink)
+            refused = self._evaluate_failure(request, progress, result, sink)
             if refused is not None:
                 return Err(refused)
-            self._step(request, Step.RETRY)
+            self._apply_step(request, Step.RETRY)
 
-    def _make_want(self, request: CallerRequest, way: Way) -> Want:
-        return Want(
-            want=f"{request.request}/{way.attempts}",
+    def _make_waiter(self, request: CallerRequest, progress: RequestProgress) -> Waiter:
+        return Waiter(
+            waiter=f"{request.request}/{progress.attempts}",
             request=request.request,
             adapter=request.adapter,
             candidates=request.candidates,
             priority=request.priority,
             deadline_at=request.deadline_at,
             since=self._runtime.clock(),
-            avoid=way.avoid,
+            avoid=progress.avoid,
         )
 
-    def _outcome_of(self, way: Way) -> Outcome:
-        return Outcome.UNKNOWN if way.sent_maybe_run else Outcome.NOT_RUN
+    def _get_outcome(self, progress: RequestProgress) -> Outcome:
+        return Outcome.UNKNOWN if progress.possibly_run_attempts else Outcome.NOT_RUN
 
-    def _judge_failure(
+    def _evaluate_failure(
         self,
         request: CallerRequest,
-        way: Way,
+        progress: RequestProgress,
         result: AttemptResult,
         sink: Sink,
     ) -> Refusal | None:
         """Return why a failed attempt ends the request, or none to try again."""
         if result.end is AttemptEnd.LOST:
             if not request.repeatable:
-                return self._refuse(
+                return self._make_refusal(
                     RefusalReason.ENDPOINT_FAILED,
                     Outcome.UNKNOWN,
                     f"{result.fault}; not repeatable, so it is not tried again",
                 )
-            if way.begun and not sink.holds_back and way.cannot_resume:
-                return self._refuse(
+            if (
+                progress.answer_started
+                and not sink.is_buffered
+                and progress.cannot_resume
+            ):
+                return self._make_refusal(
                     RefusalReason.CUT_OFF,
                     Outcome.UNKNOWN,
                     f"{result.fault}; the answer had begun",
                 )
         limits = self._runtime.world.settings.limits
-        if way.attempts >= limits.attempts:
-            return self._refuse(
+        if progress.attempts >= limits.attempts:
+            return self._make_refusal(
                 RefusalReason.ENDPOINT_FAILED,
-                self._outcome_of(way),
-                f"{result.fault} at attempt {way.attempts}",
-                max(result.retry_after, COME_BACK_AFTER),
+                self._get_outcome(progress),
+                f"{result.fault} at attempt {progress.attempts}",
+                max(result.retry_after, RETRY_AFTER),
             )
-        if not self._retries.take(self._runtime.clock()):
-            return self._refuse(
+        if not self._retry_budget.acquire(self._runtime.clock()):
+            return self._make_refusal(
                 RefusalReason.OVERLOADED,
-                self._outcome_of(way),
+                self._get_outcome(progress),
                 f"{result.fault}; the retry budget is spent",
-                COME_BACK_AFTER,
+                RETRY_AFTER,
             )
         return None
 
@@ -315,53 +321,57 @@
         request: CallerRequest,
         permit: HeldPermit,
         sink: Sink,
-        way: Way,
+        progress: RequestProgress,
     ) -> AttemptResult:
         """Try once under a permit, and give its place back in every case."""
-        way.attempts += 1
-        own = self._runtime.world.identity
+        progress.attempts += 1
+        identity = self._runtime.world.identity
         attempt = AttemptId(
-            f"{request.request}/{own.vm}.{own.incarnation}/{way.attempts}"
+            f"{request.request}/{identity.vm}.{identity.incarnation}/{progress.attempts}"
         )
-        self._check_once(request, way)
+        self._check_sent_once(request, progress)
         use_end = UseEnd.UNSURE
         started_at = self._runtime.clock()
-        self._step(request, Step.SEND, permit.endpoint)
-        self._tell(request, "sent", endpoint=permit.endpoint, detail=attempt)
-        way.sent_maybe_run += 1
+        self._apply_step(request, Step.SEND, permit.endpoint)
+        self._add_event(request, "sent", endpoint=permit.endpoint, detail=attempt)
+        progress.possibly_run_attempts += 1
         try:
-            result = await self._start_and_relay(request, permit, attempt, sink, way)
+            result = await self._start_and_relay(
+                request, permit, attempt, sink, progress
+            )
             if result.end is not AttemptEnd.LOST:
                 use_end = UseEnd.ENDED
         finally:
             used = PermitUsed(permit=permit.permit, attempt=attempt, end=use_end)
             self._runtime.post(used)
         if result.end is AttemptEnd.NOT_RUN:
-            way.sent_maybe_run -= 1
-        self._note_result(request, permit, result, started_at)
-        if result.elsewhere:
-            way.avoid |= {permit.endpoint}
+            progress.possibly_run_attempts -= 1
+        self._report_result(request, permit, result, started_at)
+        if result.avoid_endpoint:
+            progress.avoid |= {permit.endpoint}
         return result
 
-    def _check_once(self, request: CallerRequest, way: Way) -> None:
+    def _check_sent_once(
+        self, request: CallerRequest, progress: RequestProgress
+    ) -> None:
         self._runtime.world.invariants.require(
             NOT_REPEATABLE_SENT_ONCE,
-            request.repeatable or way.sent_maybe_run == 0,
+            request.repeatable or progress.possibly_run_attempts == 0,
             request.request,
         )
 
-    def _note_result(
+    def _report_result(
         self,
         request: CallerRequest,
         permit: HeldPermit,
         result: AttemptResult,
         started_at: Seconds,
     ) -> None:
-        if result.end is AttemptEnd.WHOLE:
+        if result.end is AttemptEnd.COMPLETE:
             took = self._runtime.clock() - started_at
             self._runtime.post(EndpointServed(endpoint=permit.endpoint, took=took))
             return
-        self._tell(
+        self._add_event(
             request,
             f"attempt {result.end.value}",
             reason=result.fault,
@@ -381,14 +391,16 @@
         permit: HeldPermit,
         attempt: AttemptId,
         sink: Sink,
-        way: Way,
+        progress: RequestProgress,
     ) -> AttemptResult:
         limits = self._runtime.world.settings.limits
         try:
             async with asyncio.timeout(limits.first_token):
-                answer = await self._start(request, permit, attempt, way)
+                answer = await self._start(request, permit, attempt, progress)
         except NotStarted:
-            return AttemptResult(AttemptEnd.NOT_RUN, FAULT_NOT_REACHED, elsewhere=True)
+            return AttemptResult(
+                AttemptEnd.NOT_RUN, FAULT_NOT_REACHED, avoid_endpoint=True
+            )
         except EndpointRefused as refused:
             return AttemptResult(
                 AttemptEnd.NOT_RUN,
@@ -396,17 +408,27 @@
                 retry_after=refused.retry_after,
             )
         except AttemptLost:
-            return AttemptResult(AttemptEnd.LOST, FAULT_LOST, elsewhere=True)
+            return AttemptResult(
+                AttemptEnd.LOST, FAULT_ANSWER_LOST, avoid_endpoint=True
+            )
         except TimeoutError:
-            return AttemptResult(AttemptEnd.LOST, FAULT_SLOW, elsewhere=True)
+            return AttemptResult(
+                AttemptEnd.LOST, FAULT_NO_PROGRESS, avoid_endpoint=True
+            )
         try:
-            return await self._relay(request, answer, attempt, sink, way)
-        except WronglyNamed:
-            return AttemptResult(AttemptEnd.LOST, FAULT_WRONG_VERSION, elsewhere=True)
+            return await self._relay(request, answer, attempt, sink, progress)
+        except AdapterMismatch:
+            return AttemptResult(
+                AttemptEnd.LOST, FAULT_WRONG_VERSION, avoid_endpoint=True
+            )
         except AttemptLost:
-            return AttemptResult(AttemptEnd.LOST, FAULT_LOST, elsewhere=True)
+            return AttemptResult(
+                AttemptEnd.LOST, FAULT_ANSWER_LOST, avoid_endpoint=True
+            )
         except TimeoutError:
-            return AttemptResult(AttemptEnd.LOST, FAULT_SLOW, elsewhere=True)
+            return AttemptResult(
+                AttemptEnd.LOST, FAULT_NO_PROGRESS, avoid_endpoint=True
+            )
         finally:
             await answer.close()
 
@@ -415,7 +437,7 @@
         request: CallerRequest,
         permit: HeldPermit,
         attempt: AttemptId,
-        way: Way,
+        progress: RequestProgress,
     ) -> Answer:
         world = self._runtime.world
         spec = world.config.endpoints.get(permit.endpoint)
@@ -431,7 +453,7 @@
             payload=request.payload,
             priority=int(request.priority),
             fence=permit.epoch << TOKEN_BITS,
-            resume_token_ids=way.token_ids,
+            resume_token_ids=progress.token_ids,
         )
         return await self._runtime.ports.engines.start(spec.url, engine_attempt)
 
@@ -441,27 +463,27 @@
         answer: Answer,
         attempt: AttemptId,
         sink: Sink,
-        way: Way,
+        progress: RequestProgress,
     ) -> AttemptResult:
         if request.call is not None:
-            return await self._relay_service(request, answer, attempt, sink, way)
+            return await self._relay_service(request, answer, attempt, sink, progress)
         head = answer.head
         if head.attempt != attempt or head.adapter != str(request.adapter):
-            raise WronglyNamed(f"{head.adapter} for {head.attempt}")
+            raise AdapterMismatch(f"{head.adapter} for {head.attempt}")
         relay = Relay(request.adapter)
         try:
-            await self._relay_events(request, answer, relay, sink, way)
+            await self._relay_events(request, answer, relay, sink, progress)
         except (AttemptLost, TimeoutError):
-            self._plan_resume(relay, sink, way)
+            self._plan_resume(relay, sink, progress)
             raise
-        if not way.begun:
-            await self._begin(request, head, sink, way)
+        if not progress.answer_started:
+            await self._start_answer(request, head, sink, progress)
         self._runtime.world.invariants.require(
             DONE_ONLY_WITH_END_MARK,
             relay.ended,
             request.request,
         )
-        return AttemptResult(AttemptEnd.WHOLE)
+        return AttemptResult(AttemptEnd.COMPLETE)
 
     async def _relay_events(
         self,
@@ -469,44 +491,46 @@
         answer: Answer,
         relay: Relay,
         sink: Sink,
-        way: Way,
+        progress: RequestProgress,
     ) -> None:
         limits = self._runtime.world.settings.limits
         loop = asyncio.get_running_loop()
-        async with asyncio.timeout(limits.first_token) as limit:
+        async with asyncio.timeout(limits.first_token) as timeout:
             async for chunk in answer.chunks():
                 events = relay.feed(chunk)
                 if events:
-                    if not way.begun:
-                        await self._begin(request, answer.head, sink, way)
-                    elif self._stage(request) is Stage.SENT:
-                        self._step(request, Step.STREAM)
-                    limit.reschedule(loop.time() + limits.idle)
+                    if not progress.answer_started:
+                        await self._start_answer(request, answer.head, sink, progress)
+                    elif self._get_stage(request) is Stage.SENT:
+                        self._apply_step(request, Step.STREAM)
+                    timeout.reschedule(loop.time() + limits.idle)
                     await sink.send(events)
-                limit.reschedule(loop.time() + limits.between_tokens)
+                timeout.reschedule(loop.time() + limits.between_tokens)
         if not relay.ended:
             raise AttemptLost("the stream ended without its end mark")
 
-    async def _begin(
+    async def _start_answer(
         self,
         request: CallerRequest,
         head: AnswerHead,
         sink: Sink,
-        way: Way,
+        progress: RequestProgress,
     ) -> None:
-        right = head.adapter == str(request.adapter) or request.call is not None
+        is_named_correctly = (
+            head.adapter == str(request.adapter) or request.call is not None
+        )
         self._runtime.world.invariants.require(
             ANSWER_RIGHTLY_NAMED,
-            right,
+            is_named_correctly,
             f"{head.adapter} for {request.adapter}",
         )
-        way.begun = True
-        self._step(request, Step.STREAM)
+        progress.answer_started = True
+        self._apply_step(request, Step.STREAM)
         waited = self._runtime.clock() - request.received_at
-        self._tell(request, "first token", detail=f"after {waited:.3f} s")
-        await sink.begin(head)
+        self._add_event(request, "first token", detail=f"after {waited:.3f} s")
+        await sink.start(head)
 
-    def _plan_resume(self, relay: Relay, sink: Sink, way: Way) -> None:
+    def _plan_resume(self, relay: Relay, sink: Sink, progress: RequestProgress) -> None:
         """Keep what was delivered, so that another engine can go on from there.
 
         Continuing from token ids follows "Inference in production, part 3"; our
@@ -516,12 +540,12 @@
             return
         ids = relay.list_token_ids()
         if ids is not None:
-            way.token_ids += ids
-        elif sink.holds_back:
-            sink.forget()
-            way.token_ids = ()
+            progress.token_ids += ids
+        elif sink.is_buffered:
+            sink.discard()
+            progress.token_ids = ()
         else:
-            way.cannot_resume = True
+            progress.cannot_resume = True
 
     async def _relay_service(
         self,
@@ -529,23 +553,23 @@
         answer: Answer,
         attempt: AttemptId,
         sink: Sink,
-        way: Way,
+        progress: RequestProgress,
     ) -> AttemptResult:
         if answer.head.attempt != attempt:
             raise AttemptLost("the answer is to another attempt")
         limits = self._runtime.world.settings.limits
         loop = asyncio.get_running_loop()
-        way.cannot_resume = True
-        await self._begin(request, answer.head, sink, way)
-        async with asyncio.timeout(limits.idle) as limit:
+        progress.cannot_resume = True
+        await self._start_answer(request, answer.head, sink, progress)
+        async with asyncio.timeout(limits.idle) as timeout:
             async for chunk in answer.chunks():
                 await sink.send(chunk)
-                limit.reschedule(loop.time() + limits.idle)
-        return AttemptResult(AttemptEnd.WHOLE)
+                timeout.reschedule(loop.time() + limits.idle)
+        return AttemptResult(AttemptEnd.COMPLETE)
 
     # Outcomes and the table of live requests
 
-    def _refuse(
+    def _make_refusal(
         self,
         reason: RefusalReason,
         outcome: Outcome,
@@ -562,43 +586,46 @@
     def _check_outcome(
         self,
         request: CallerRequest,
-        way: Way,
+        progress: RequestProgress,
         refusal: Refusal,
     ) -> Refusal:
-        held = self._runtime.world.invariants.require(
+        is_upheld = self._runtime.world.invariants.require(
             NOT_RUN_MEANS_NOT_SENT,
-            refusal.outcome is not Outcome.NOT_RUN or way.sent_maybe_run == 0,
+            refusal.outcome is not Outcome.NOT_RUN
+            or progress.possibly_run_attempts == 0,
             request.request,
         )
-        return refusal if held else replace(refusal, outcome=Outcome.UNKNOWN)
+        return refusal if is_upheld else replace(refusal, outcome=Outcome.UNKNOWN)
 
-    def _stage(self, request: CallerRequest) -> Stage:
+    def _get_stage(self, request: CallerRequest) -> Stage:
         return self.live[request.request].stage
 
-    def _step(
+    def _apply_step(
         self,
         request: CallerRequest,
         step: Step,
         endpoint: EndpointId | None = None,
     ) -> None:
         record = self.live[request.request]
-        stage = next_stage(record.stage, step)
+        stage = get_next_stage(record.stage, step)
         if endpoint is not None:
             record = replace(record, endpoint=endpoint, attempts=record.attempts + 1)
         self.live[request.request] = replace(record, stage=stage)
 
     def _close(self, request: CallerRequest, step: Step, reason: str) -> None:
         record = self.live.get(request.request)
-        if record is None or record.stage in FINAL:
+        if record is None or record.stage in FINAL_STAGES:
             return
         if step is Step.REFUSE and record.stage is Stage.STREAMING:
             step = Step.FAIL
-        self._step(request, step)
+        self._apply_step(request, step)
         took = self._runtime.clock() - request.received_at
-        stage = self._stage(request)
-        self._tell(request, stage.value, reason=reason, detail=f"after {took:.3f} s")
+        stage = self._get_stage(request)
+        self._add_event(
+            request, stage.value, reason=reason, detail=f"after {took:.3f} s"
+        )
 
-    def _tell(self, request: CallerRequest, what: str, **more: str) -> None:
+    def _add_event(self, request: CallerRequest, what: str, **more: str) -> None:
         self._runtime.world.events.add(
             PART,
             what,
--- a/src/kestreltally/requests/limits.py
+++ b/src/kestreltally/requests/limits.py
@@ -6,9 +6,9 @@
 from kestreltally.entities.configuration import Caller
 from kestreltally.entities.ids import Seconds
 
-RETRY_FLOOR_PER_SECOND: Final = 2.0
+MIN_RETRIES_PER_SECOND: Final = 2.0
 RETRY_BURST: Final = 10.0
-MOST_CALLERS_KEPT: Final = 4_096
+MAX_TRACKED_CALLERS: Final = 4_096
 
 
 @dataclass
@@ -20,7 +20,7 @@
     level: float
     filled_at: Seconds
 
-    def take(self, now: Seconds) -> bool:
+    def acquire(self, now: Seconds) -> bool:
         """Take one if there is one."""
         self.level = min(self.burst, self.level + (now - self.filled_at) * self.rate)
         self.filled_at = now
@@ -29,17 +29,17 @@
         self.level -= 1.0
         return True
 
-    def put(self, amount: float) -> None:
+    def add(self, amount: float) -> None:
         """Add to what may be taken."""
         self.level = min(self.burst, self.level + amount)
 
-    def wait_for_one(self) -> Seconds:
+    def compute_wait(self) -> Seconds:
         """Return in how many seconds there will be one."""
         return max(0.0, (1.0 - self.level) / self.rate)
 
 
 @dataclass
-class CallerUse:
+class CallerUsage:
     """What one caller takes now."""
 
     bucket: TokenBucket
@@ -54,51 +54,53 @@
     """
 
     def __init__(self) -> None:
-        self._uses: dict[str, CallerUse] = {}
+        self._usage: dict[str, CallerUsage] = {}
 
-    def enter(self, caller: Caller, daemons: int, now: Seconds) -> Seconds | None:
+    def acquire(
+        self, caller: Caller, daemon_count: int, now: Seconds
+    ) -> Seconds | None:
         """Count a request in; return none, or after how long to come back."""
-        rate = caller.requests_per_second / max(1, daemons)
+        rate = caller.requests_per_second / max(1, daemon_count)
         burst = max(1.0, rate)
-        use = self._uses.get(caller.name)
-        if use is None:
-            self._forget_idle()
-            use = CallerUse(TokenBucket(rate, burst, burst, now))
-            self._uses[caller.name] = use
-        use.bucket.rate, use.bucket.burst = rate, burst
-        if use.running >= caller.concurrent:
+        usage = self._usage.get(caller.name)
+        if usage is None:
+            self._remove_idle()
+            usage = CallerUsage(TokenBucket(rate, burst, burst, now))
+            self._usage[caller.name] = usage
+        usage.bucket.rate, usage.bucket.burst = rate, burst
+        if usage.running >= caller.concurrent:
             return 1.0
-        if not use.bucket.take(now):
-            return use.bucket.wait_for_one()
-        use.running += 1
+        if not usage.bucket.acquire(now):
+            return usage.bucket.compute_wait()
+        usage.running += 1
         return None
 
-    def leave(self, caller: Caller) -> None:
+    def release(self, caller: Caller) -> None:
         """Count a request out."""
-        use = self._uses.get(caller.name)
-        if use is not None:
-            use.running = max(0, use.running - 1)
+        usage = self._usage.get(caller.name)
+        if usage is not None:
+            usage.running = max(0, usage.running - 1)
 
-    def _forget_idle(self) -> None:
-        if len(self._uses) < MOST_CALLERS_KEPT:
+    def _remove_idle(self) -> None:
+        if len(self._usage) < MAX_TRACKED_CALLERS:
             return
-        for name in [name for name, use in self._uses.items() if use.running == 0]:
-            del self._uses[name]
+        for name in [name for name, usage in self._usage.items() if usage.running == 0]:
+            del self._usage[name]
 
 
 class RetryBudget:
     """Retries are a share of the traffic, so that they cannot multiply an overload."""
 
-    def __init__(self, share: float, now: Seconds) -> None:
-        self._share = share
+    def __init__(self, fraction: float, now: Seconds) -> None:
+        self._fraction = fraction
         self._bucket = TokenBucket(
-            RETRY_FLOOR_PER_SECOND, RETRY_BURST, RETRY_BURST, now
+            MIN_RETRIES_PER_SECOND, RETRY_BURST, RETRY_BURST, now
         )
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Earn a share of a retry by a request."""
-        self._bucket.put(self._share)
+        self._bucket.add(self._fraction)
 
-    def take(self, now: Seconds) -> bool:
+    def acquire(self, now: Seconds) -> bool:
         """Take one retry if there is one."""
-        return self._bucket.take(now)
+        return self._bucket.acquire(now)
--- a/src/kestreltally/requests/relay.py
+++ b/src/kestreltally/requests/relay.py
@@ -12,12 +12,12 @@
 from kestreltally.ports import AttemptLost
 
 EVENT_END: Final = b"\n\n"
-DATA: Final = b"data: "
+DATA_PREFIX: Final = b"data: "
 END_MARK: Final = b"data: [DONE]"
-KEPT_BYTES: Final = 1_000_000
+MAX_BUFFERED_BYTES: Final = 1_000_000
 
 
-class WronglyNamed(AttemptLost):
+class AdapterMismatch(AttemptLost):
     """An event names another adapter or version than the one asked for."""
 
 
@@ -37,14 +37,16 @@
     choices: list[Choice] = []
 
 
-def read_events(data: bytes) -> list[AnswerEvent]:
+def parse_events(data: bytes) -> list[AnswerEvent]:
     """Return the events in whole bytes; raises ``AttemptLost`` if unreadable."""
     events = []
     for part in data.split(EVENT_END):
-        if not part.startswith(DATA) or part.startswith(END_MARK):
+        if not part.startswith(DATA_PREFIX) or part.startswith(END_MARK):
             continue
         try:
-            events.append(msgspec.json.decode(part[len(DATA) :], type=AnswerEvent))
+            events.append(
+                msgspec.json.decode(part[len(DATA_PREFIX) :], type=AnswerEvent)
+            )
         except msgspec.MsgspecError as error:
             raise AttemptLost(f"an event cannot be read: {error}") from error
     return events
@@ -55,67 +57,67 @@
 
     def __init__(self, adapter: AdapterVersion) -> None:
         self._name = str(adapter)
-        self._mark = f'"model":"{adapter}"'.encode()
-        self._tail = b""
-        self._kept: list[bytes] = []
-        self._kept_bytes = 0
+        self._model_field = f'"model":"{adapter}"'.encode()
+        self._partial_event = b""
+        self._buffered: list[bytes] = []
+        self._delivered_bytes = 0
         self.ended = False
 
     def feed(self, data: bytes) -> bytes:
         """Return the whole events in ``data``, without the end mark.
 
-        Raises ``WronglyNamed`` before any byte of a wrong event is returned, and
+        Raises ``AdapterMismatch`` before any byte of a wrong event is returned, and
         ``AttemptLost`` for anything after the end mark.
         """
         if self.ended:
             if data.strip():
                 raise AttemptLost("bytes came after the end mark")
             return b""
-        data = self._tail + data if self._tail else data
+        data = self._partial_event + data if self._partial_event else data
         end = data.rfind(EVENT_END)
         if end < 0:
-            self._tail = data
+            self._partial_event = data
             return b""
-        whole, self._tail = data[: end + 2], data[end + 2 :]
-        whole = self._cut_end_mark(whole)
-        if whole:
-            self._check_names(whole)
-            self._keep(whole)
-        return whole
-
-    def _cut_end_mark(self, whole: bytes) -> bytes:
-        at = whole.rfind(END_MARK)
+        events, self._partial_event = data[: end + 2], data[end + 2 :]
+        events = self._strip_end_mark(events)
+        if events:
+            self._check_adapter(events)
+            self._buffer(events)
+        return events
+
+    def _strip_end_mark(self, events: bytes) -> bytes:
+        at = events.rfind(END_MARK)
         if at < 0:
-            return whole
-        if whole[at + len(END_MARK) :].strip() or self._tail.strip():
+            return events
+        if events[at + len(END_MARK) :].strip() or self._partial_event.strip():
             raise AttemptLost("bytes came after the end mark")
         self.ended = True
-        return whole[:at]
+        return events[:at]
 
-    def _check_names(self, whole: bytes) -> None:
+    def _check_adapter(self, events: bytes) -> None:
         """Check each event's adapter: by counting, and by reading where that fails."""
-        if whole.count(self._mark) == whole.count(EVENT_END):
+        if events.count(self._model_field) == events.count(EVENT_END):
             return
-        for event in read_events(whole):
+        for event in parse_events(events):
             if event.model != self._name:
-                raise WronglyNamed(f"{event.model} answered for {self._name}")
+                raise AdapterMismatch(f"{event.model} answered for {self._name}")
 
-    def _keep(self, whole: bytes) -> None:
-        self._kept_bytes += len(whole)
-        if self._kept_bytes <= KEPT_BYTES:
-            self._kept.append(whole)
+    def _buffer(self, events: bytes) -> None:
+        self._delivered_bytes += len(events)
+        if self._delivered_bytes <= MAX_BUFFERED_BYTES:
+            self._buffered.append(events)
 
     @property
     def delivered(self) -> bool:
         """Tell whether any event was handed on."""
-        return self._kept_bytes > 0
+        return self._delivered_bytes > 0
 
     def list_token_ids(self) -> tuple[int, ...] | None:
         """Return the token ids handed on; none where they cannot be told."""
-        if self._kept_bytes > KEPT_BYTES:
+        if self._delivered_bytes > MAX_BUFFERED_BYTES:
             return None
         ids: list[int] = []
-        for event in read_events(b"".join(self._kept)):
+        for event in parse_events(b"".join(self._buffered)):
             for choice in event.choices:
                 if (
                     choice.text or choice.delta.get("content")
--- a/src/kestreltally/requests/states.py
+++ b/src/kestreltally/requests/states.py
@@ -56,7 +56,7 @@
     (Step.FAIL, Stage.STREAMING, Stage.FAILED),
 )
 
-MACHINE: Final = Machine(
+STATE_MACHINE: Final = Machine(
     model=None,
     states=Stage,
     initial=Stage.RECEIVED,
@@ -66,19 +66,19 @@
         for step, source, dest in TRANSITIONS
     ],
 )
-FINAL: Final = frozenset({Stage.DONE, Stage.REFUSED, Stage.FAILED})
+FINAL_STAGES: Final = frozenset({Stage.DONE, Stage.REFUSED, Stage.FAILED})
 
 # The machine checks the steps at the start; requests look them up in a table,
 # for a model attached for each request costs more than the rest of its way.
-ALLOWED: Final = {
+NEXT_STAGES: Final = {
     (Stage[each.source], Step(name)): Stage[str(each.dest)]
-    for name, event in MACHINE.events.items()
-    for moves in event.transitions.values()
-    for each in moves
+    for name, event in STATE_MACHINE.events.items()
+    for transitions in event.transitions.values()
+    for each in transitions
 }
 
 
-class StepNotAllowed(RuntimeError):
+class InvalidStep(RuntimeError):
     """A request was to take a step that its stage does not allow."""
 
 
@@ -98,9 +98,9 @@
     attempts: int = 0
 
 
-def next_stage(stage: Stage, step: Step) -> Stage:
-    """Return the stage after a step; raises ``StepNotAllowed``."""
-    found = ALLOWED.get((stage, step))
+def get_next_stage(stage: Stage, step: Step) -> Stage:
+    """Return the stage after a step; raises ``InvalidStep``."""
+    found = NEXT_STAGES.get((stage, step))
     if found is None:
-        raise StepNotAllowed(f"{step.value} from {stage.value}")
+        raise InvalidStep(f"{step.value} from {stage.value}")
     return found
--- a/src/kestreltally/runtime.py
+++ b/src/kestreltally/runtime.py
@@ -15,7 +15,7 @@
     EndpointKind,
 )
 from kestreltally.entities.ids import AttemptId, EndpointId, Seconds
-from kestreltally.entities.permits import Want
+from kestreltally.entities.permits import Waiter
 from kestreltally.objectapi.watches import PlatformWatches
 from kestreltally.orders import (
     ClaimEndpoint,
@@ -35,10 +35,10 @@
     UnloadAdapter,
     UnloadEnded,
     UseEnd,
-    WantAdded,
+    WaiterAdded,
+    WaiterDropped,
+    WaiterGranted,
     WantAnswer,
-    WantDropped,
-    WantGranted,
 )
 from kestreltally.peers.messages import Envelope, PeerMessage
 from kestreltally.ports import (
@@ -180,7 +180,7 @@
     def _answer_wants(self) -> None:
         answers, self.world.entry.answers = self.world.entry.answers, []
         for answer in answers:
-            future = self._waiting.pop(answer.want, None)
+            future = self._waiting.pop(answer.waiter, None)
             if future is not None and not future.done():
                 future.set_result(answer)
 
@@ -209,28 +209,28 @@
 
     # Requests
 
-    async def acquire(self, want: Want) -> WantAnswer:
+    async def acquire(self, waiter: Waiter) -> WantAnswer:
         """Wait until a request is granted a permit or refused."""
         future = asyncio.get_running_loop().create_future()
-        self._waiting[want.want] = future
-        self.post(WantAdded(want=want))
+        self._waiting[waiter.waiter] = future
+        self.post(WaiterAdded(waiter=waiter))
         try:
             answer: WantAnswer = await future
             return answer
         except asyncio.CancelledError:
-            self.abandon(want.want, future)
+            self.abandon(waiter.waiter, future)
             raise
 
-    def abandon(self, want: str, future: "asyncio.Future[WantAnswer]") -> None:
+    def abandon(self, waiter: str, future: "asyncio.Future[WantAnswer]") -> None:
         """Remove a request whose caller has left; return a permit granted too late."""
-        self._waiting.pop(want, None)
-        self.post(WantDropped(want=want))
+        self._waiting.pop(waiter, None)
+        self.post(WaiterDropped(waiter=waiter))
         if future.done() and not future.cancelled():
             answer = future.result()
-            if isinstance(answer, WantGranted):
+            if isinstance(answer, WaiterGranted):
                 self.release_unused(answer)
 
-    def release_unused(self, granted: WantGranted) -> None:
+    def release_unused(self, granted: WaiterGranted) -> None:
         """Release a permit under which no request was started."""
         permit = granted.permit.permit
         self.post(PermitUsed(permit=permit, attempt=NO_ATTEMPT, end=UseEnd.ENDED))
--- a/src/kestreltally/systems/availability.py
+++ b/src/kestreltally/systems/availability.py
@@ -79,7 +79,9 @@
     for held in list(world.entry.held.values()):
         same = held.endpoint == failed.endpoint and held.adapter == failed.adapter
         if same and not held.returned:
-            world.entry.held[held.permit] = replace(held, returned=True, told_at=NEVER)
+            world.entry.held[held.permit] = replace(
+                held, returned=True, reported_at=NEVER
+            )
     view = world.entry.views.get(failed.endpoint)
     if view is not None:
         loaded = view.loaded - {failed.adapter}
--- a/src/kestreltally/systems/configuration.py
+++ b/src/kestreltally/systems/configuration.py
@@ -16,9 +16,9 @@
     Endpoint,
     MalformedObject,
     Rule,
-    key_of,
-    read_config_object,
-    write_config_object,
+    encode_config_object,
+    make_config_key,
+    parse_config_object,
 )
 from kestreltally.entities.ids import EndpointId, Revision, Seconds, VmId
 from kestreltally.entities.members import MemberState
@@ -108,7 +108,7 @@
 
 def _apply_object(world: World, changed: ConfigObject) -> None:
     table = world.config
-    key = key_of(changed.kind, changed.name)
+    key = make_config_key(changed.kind, changed.name)
     before = table.objects.get(key)
     if before is not None and changed.revision <= before.revision:
         return
@@ -166,9 +166,9 @@
 
 def _encode_change(changed: ConfigObject) -> Change:
     return Change(
-        key=key_of(changed.kind, changed.name),
+        key=make_config_key(changed.kind, changed.name),
         revision=changed.revision,
-        value=json.dumps(write_config_object(changed)),
+        value=json.dumps(encode_config_object(changed)),
     )
 
 
@@ -197,7 +197,7 @@
     for change in pushed.changes:
         try:
             plain = json.loads(change.value)
-            objects.append(read_config_object(change.key, plain, change.revision))
+            objects.append(parse_config_object(change.key, plain, change.revision))
         except (ValueError, MalformedObject) as error:
             world.events.add(PART, "discards a malformed change", reason=str(error))
     arrived = ConfigArrived(
--- a/src/kestreltally/systems/granting.py
+++ b/src/kestreltally/systems/granting.py
@@ -79,7 +79,7 @@
 
 def count_occupied(world: World, endpoint: EndpointId) -> int:
     """Return how many places in the batch are granted or in use."""
-    return sum(permit.occupies() for permit in world.permits_of(endpoint))
+    return sum(permit.count_batch_slots() for permit in world.permits_of(endpoint))
 
 
 def count_asks(world: World, endpoint: EndpointId) -> int:
@@ -265,7 +265,7 @@
     """
     in_use: Counter[AdapterVersion] = Counter()
     for permit in world.permits_of(endpoint):
-        in_use[permit.adapter] += permit.occupies()
+        in_use[permit.adapter] += permit.count_batch_slots()
     asks = [ask for ask in world.book.asks.values() if ask.endpoint == endpoint]
     asks.sort(key=lambda ask: (ask.arrived_at, ask.ask))
     ranked = []
@@ -426,7 +426,7 @@
     if led is None:
         return
     adapter = AdapterVersion(adapter=fault.adapter, version=fault.version)
-    world.update_led(led, report_asked_at=NEVER)
+    world.update_led(led, report_requested_at=NEVER)
     if adapter not in led.slots:
         return
     if fault.fault == FAULT_WRONG_VERSION:
@@ -436,7 +436,7 @@
 
 
 def _close_wrong_slot(world: World, led: LedEndpoint, adapter: AdapterVersion) -> None:
-    closing = replace(led.slots[adapter], closing=True, look_after=world.now)
+    closing = replace(led.slots[adapter], closing=True, report_required_after=world.now)
     world.put_slot(led, closing)
     world.events.add(
         PART,
--- a/src/kestreltally/systems/holding.py
+++ b/src/kestreltally/systems/holding.py
@@ -15,16 +15,16 @@
     VmId,
     parse_adapter_version,
 )
-from kestreltally.entities.permits import HeldPermit, Want
+from kestreltally.entities.permits import HeldPermit, Waiter
 from kestreltally.invariants import declare_invariant
 from kestreltally.orders import (
     PermitUsed,
     RefusalReason,
     UseEnd,
-    WantAdded,
-    WantDropped,
-    WantGranted,
-    WantRefused,
+    WaiterAdded,
+    WaiterDropped,
+    WaiterGranted,
+    WaiterRefused,
 )
 from kestreltally.peers.messages import (
     AskPermit,
@@ -66,36 +66,36 @@
 )
 
 
-@handles_event(WantAdded)
-def add_want(world: World, added: WantAdded) -> None:
+@handles_event(WaiterAdded)
+def add_want(world: World, added: WaiterAdded) -> None:
     """Add a waiting request."""
-    world.entry.wants[added.want.want] = added.want
+    world.entry.waiters[added.waiter.waiter] = added.waiter
 
 
-@handles_event(WantDropped)
-def drop_want(world: World, dropped: WantDropped) -> None:
+@handles_event(WaiterDropped)
+def drop_want(world: World, dropped: WaiterDropped) -> None:
     """Remove a request that no longer waits, and withdraw its ask."""
-    want = world.entry.wants.pop(dropped.want, None)
-    if want is not None:
-        _withdraw(world, want)
+    waiter = world.entry.waiters.pop(dropped.waiter, None)
+    if waiter is not None:
+        _withdraw(world, waiter)
 
 
-def _withdraw(world: World, want: Want) -> None:
-    if want.ask is None or want.endpoint is None:
+def _withdraw(world: World, waiter: Waiter) -> None:
+    if waiter.ask is None or waiter.endpoint is None:
         return
-    leader = find_leader(world, want.endpoint)
+    leader = find_leader(world, waiter.endpoint)
     if leader is not None:
-        world.send(leader, WithdrawAsk(ask=want.ask, endpoint=want.endpoint))
+        world.send(leader, WithdrawAsk(ask=waiter.ask, endpoint=waiter.endpoint))
 
 
-def _make_candidates(world: World, want: Want) -> list[Candidate]:
+def _make_candidates(world: World, waiter: Waiter) -> list[Candidate]:
     """Return the endpoints at which a request could run now, with their last views."""
-    ranked = rank_owners(str(want.adapter), want.candidates)
+    ranked = rank_owners(str(waiter.adapter), waiter.candidates)
     candidates = []
     for rank, name in enumerate(ranked):
         endpoint = EndpointId(name)
         silent = world.now < world.entry.silent_until.get(endpoint, NEVER)
-        if endpoint in want.avoid or silent or not is_available(world, endpoint):
+        if endpoint in waiter.avoid or silent or not is_available(world, endpoint):
             continue
         spec = world.config.endpoints[endpoint]
         view = _get_fresh_view(world, endpoint)
@@ -103,7 +103,8 @@
             Candidate(
                 endpoint=endpoint,
                 rank=rank,
-                loaded=spec.kind is EndpointKind.SERVICE or want.adapter in view.loaded,
+                loaded=spec.kind is EndpointKind.SERVICE
+                or waiter.adapter in view.loaded,
                 occupied=view.occupied,
                 queued=view.queued,
                 batch_limit=spec.batch_limit,
@@ -115,129 +116,131 @@
 
 def _get_fresh_view(world: World, endpoint: EndpointId) -> EndpointView:
     view = world.entry.views.get(endpoint)
-    if view is None or world.now - view.heard_at > VIEW_TTL:
+    if view is None or world.now - view.received_at > VIEW_TTL:
         return EndpointView(
             endpoint=endpoint,
             loaded=frozenset(),
             occupied=0,
             queued=0,
-            heard_at=NEVER,
+            received_at=NEVER,
         )
     return view
 
 
-def _sort_wants(world: World) -> list[Want]:
+def _sort_wants(world: World) -> list[Waiter]:
     """Return the waiting requests by priority, then by longest wait."""
     return sorted(
-        world.entry.wants.values(),
-        key=lambda want: (want.priority, want.since, want.want),
+        world.entry.waiters.values(),
+        key=lambda waiter: (waiter.priority, waiter.since, waiter.waiter),
     )
 
 
 @runs_each_tick(50, on_wake=True)
 def serve_wants(world: World) -> None:
     """Start waiting requests under held permits, ask for permits, or refuse them."""
-    for want in _sort_wants(world):
-        if world.now >= want.deadline_at:
-            _refuse_want(world, want, RefusalReason.DEADLINE, REFUSAL_RETRY_DELAY)
-        elif not _use_held(world, want):
-            _continue_asking(world, want)
+    for waiter in _sort_wants(world):
+        if world.now >= waiter.deadline_at:
+            _refuse_want(world, waiter, RefusalReason.DEADLINE, REFUSAL_RETRY_DELAY)
+        elif not _use_held(world, waiter):
+            _continue_asking(world, waiter)
 
 
-def _use_held(world: World, want: Want) -> bool:
+def _use_held(world: World, waiter: Waiter) -> bool:
     """Start a request under a permit already held, if one has free capacity."""
     for held in world.entry.held.values():
-        matches = held.adapter == want.adapter and held.endpoint in want.candidates
+        matches = held.adapter == waiter.adapter and held.endpoint in waiter.candidates
         if (
             not matches
-            or held.endpoint in want.avoid
+            or held.endpoint in waiter.avoid
             or not held.has_free_capacity(world.now)
         ):
             continue
         if is_available(world, held.endpoint):
-            _withdraw(world, want)
-            _grant_want(world, want, held)
+            _withdraw(world, waiter)
+            _grant_want(world, waiter, held)
             return True
     return False
 
 
-def _grant_want(world: World, want: Want, held: HeldPermit) -> None:
+def _grant_want(world: World, waiter: Waiter, held: HeldPermit) -> None:
     world.invariants.require(
         USE_ONLY_VALID_PERMITS,
-        held.has_free_capacity(world.now) and held.adapter == want.adapter,
-        f"{held.permit} for {want.request}",
+        held.has_free_capacity(world.now) and held.adapter == waiter.adapter,
+        f"{held.permit} for {waiter.request}",
     )
     used = replace(held, running=held.running + 1)
     world.entry.held[held.permit] = used
-    del world.entry.wants[want.want]
+    del world.entry.waiters[waiter.waiter]
     start_probe(world, held.endpoint)
-    world.entry.answers.append(WantGranted(want=want.want, permit=used))
+    world.entry.answers.append(WaiterGranted(waiter=waiter.waiter, permit=used))
 
 
 def _refuse_want(
     world: World,
-    want: Want,
+    waiter: Waiter,
     reason: RefusalReason,
     retry_after: Seconds,
 ) -> None:
-    del world.entry.wants[want.want]
-    _withdraw(world, want)
-    refused = WantRefused(want=want.want, reason=reason, retry_after=retry_after)
+    del world.entry.waiters[waiter.waiter]
+    _withdraw(world, waiter)
+    refused = WaiterRefused(
+        waiter=waiter.waiter, reason=reason, retry_after=retry_after
+    )
     world.entry.answers.append(refused)
 
 
-def _continue_asking(world: World, want: Want) -> None:
+def _continue_asking(world: World, waiter: Waiter) -> None:
     timing = world.settings.timing
-    if want.ask is None or want.endpoint is None:
-        _ask_next(world, want)
+    if waiter.ask is None or waiter.endpoint is None:
+        _ask_next(world, waiter)
         return
-    if not is_available(world, want.endpoint):
-        _withdraw(world, want)
-        _ask_next(world, _clear_ask(want))
+    if not is_available(world, waiter.endpoint):
+        _withdraw(world, waiter)
+        _ask_next(world, _clear_ask(waiter))
         return
-    first_sent = want.sent_at[0] if want.sent_at else want.since
-    silence = world.now - max(first_sent, want.heard_at)
+    first_sent = waiter.sent_at[0] if waiter.sent_at else waiter.since
+    silence = world.now - max(first_sent, waiter.received_at)
     if silence > timing.ask_refresh * MAX_UNANSWERED_REFRESHES:
-        world.entry.silent_until[want.endpoint] = world.now + SILENT_LEADER_BACKOFF
-        world.entry.hints.pop(want.endpoint, None)
-        _withdraw(world, want)
-        _ask_next(world, replace(_clear_ask(want), last_reason="leader silent"))
-    elif not want.sent_at or world.now - want.sent_at[-1] >= timing.ask_refresh:
-        _send_ask(world, want)
+        world.entry.silent_until[waiter.endpoint] = world.now + SILENT_LEADER_BACKOFF
+        world.entry.hints.pop(waiter.endpoint, None)
+        _withdraw(world, waiter)
+        _ask_next(world, replace(_clear_ask(waiter), last_reason="leader silent"))
+    elif not waiter.sent_at or world.now - waiter.sent_at[-1] >= timing.ask_refresh:
+        _send_ask(world, waiter)
 
 
-def _clear_ask(want: Want) -> Want:
-    return replace(want, ask=None, endpoint=None, sent_at=(), hints_followed=0)
+def _clear_ask(waiter: Waiter) -> Waiter:
+    return replace(waiter, ask=None, endpoint=None, sent_at=(), hints_followed=0)
 
 
-def _ask_next(world: World, want: Want) -> None:
+def _ask_next(world: World, waiter: Waiter) -> None:
     """Ask the leader of the endpoint that the policy chooses."""
-    candidates = _make_candidates(world, want)
+    candidates = _make_candidates(world, waiter)
     if not candidates:
-        world.entry.wants[want.want] = want
-        _refuse_if_unservable(world, want)
+        world.entry.waiters[waiter.waiter] = waiter
+        _refuse_if_unservable(world, waiter)
         return
     choose = CHOOSERS[world.settings.placement.policy]
     chosen = choose(candidates, world.settings.placement.homes, world.random)
     world.entry.ask_sequence += 1
     identity = world.identity
-    want = replace(
-        want,
+    waiter = replace(
+        waiter,
         endpoint=chosen.endpoint,
-        ask=AskId(f"{want.request}/{identity.tag}{world.entry.ask_sequence:x}"),
+        ask=AskId(f"{waiter.request}/{identity.tag}{world.entry.ask_sequence:x}"),
         sent_at=(),
         hints_followed=0,
-        heard_at=NEVER,
+        received_at=NEVER,
     )
     world.events.add(
         PART,
         "asks for a permit",
-        request=want.request,
+        request=waiter.request,
         endpoint=chosen.endpoint,
-        adapter=str(want.adapter),
+        adapter=str(waiter.adapter),
         reason=_describe_choice(chosen),
     )
-    _send_ask(world, want)
+    _send_ask(world, waiter)
 
 
 def _describe_choice(chosen: Candidate) -> str:
@@ -245,43 +248,43 @@
     return f"{loaded}, rank {chosen.rank}, {chosen.occupied} running"
 
 
-def _refuse_if_unservable(world: World, want: Want) -> None:
+def _refuse_if_unservable(world: World, waiter: Waiter) -> None:
     """Refuse a request that no endpoint can serve.
 
     That is so if no candidate is available, if all are to be avoided, or if the
     request has waited for longer than the configured limit.
     """
-    available = [each for each in want.candidates if is_available(world, each)]
-    avoided = all(each in want.avoid for each in want.candidates)
-    timed_out = world.now - want.since > world.settings.timing.patience
+    available = [each for each in waiter.candidates if is_available(world, each)]
+    avoided = all(each in waiter.avoid for each in waiter.candidates)
+    timed_out = world.now - waiter.since > world.settings.timing.patience
     if not available or avoided or timed_out:
-        _refuse_want(world, want, RefusalReason.NO_ENDPOINT, REFUSAL_RETRY_DELAY)
+        _refuse_want(world, waiter, RefusalReason.NO_ENDPOINT, REFUSAL_RETRY_DELAY)
 
 
-def _send_ask(world: World, want: Want) -> None:
-    endpoint, ask_id = want.endpoint, want.ask
+def _send_ask(world: World, waiter: Waiter) -> None:
+    endpoint, ask_id = waiter.endpoint, waiter.ask
     assert endpoint is not None and ask_id is not None
-    want = replace(want, sent_at=(*want.sent_at, world.now))
-    world.entry.wants[want.want] = want
+    waiter = replace(waiter, sent_at=(*waiter.sent_at, world.now))
+    world.entry.waiters[waiter.waiter] = waiter
     leader = find_leader(world, endpoint)
     if leader is None:
         return
     ask = AskPermit(
         ask=ask_id,
         endpoint=endpoint,
-        adapter=want.adapter.adapter,
-        version=want.adapter.version,
-        priority=int(want.priority),
-        time_left=want.deadline_at - world.now,
-        turn=len(want.sent_at) - 1,
+        adapter=waiter.adapter.adapter,
+        version=waiter.adapter.version,
+        priority=int(waiter.priority),
+        time_left=waiter.deadline_at - world.now,
+        turn=len(waiter.sent_at) - 1,
     )
     world.send(leader, ask)
 
 
-def _find_want(world: World, ask: str) -> Want | None:
-    for want in world.entry.wants.values():
-        if want.ask == ask:
-            return want
+def _find_want(world: World, ask: str) -> Waiter | None:
+    for waiter in world.entry.waiters.values():
+        if waiter.ask == ask:
+            return waiter
     return None
 
 
@@ -292,7 +295,7 @@
         loaded=frozenset(parse_adapter_version(name) for name in view.loaded),
         occupied=view.occupied,
         queued=view.queued,
-        heard_at=world.now,
+        received_at=world.now,
     )
 
 
@@ -303,10 +306,12 @@
         _store_view(world, view)
     if PermitId(grant.ask) in world.entry.held:
         return
-    want = _find_want(world, grant.ask)
-    known_turn = want is not None and grant.turn < len(want.sent_at)
-    expires_at = want.sent_at[grant.turn] + grant.life if want and known_turn else NEVER
-    if want is None or world.now >= expires_at:
+    waiter = _find_want(world, grant.ask)
+    known_turn = waiter is not None and grant.turn < len(waiter.sent_at)
+    expires_at = (
+        waiter.sent_at[grant.turn] + grant.life if waiter and known_turn else NEVER
+    )
+    if waiter is None or world.now >= expires_at:
         returned = ReturnPermit(
             permit=grant.ask,
             endpoint=grant.endpoint,
@@ -314,8 +319,8 @@
             unsure=False,
         )
         world.send(sender, returned)
-        if want is not None:
-            world.entry.wants[want.want] = _clear_ask(want)
+        if waiter is not None:
+            world.entry.waiters[waiter.waiter] = _clear_ask(waiter)
         return
     held = HeldPermit(
         permit=PermitId(grant.ask),
@@ -329,9 +334,9 @@
     )
     world.entry.held[held.permit] = held
     if is_available(world, held.endpoint):
-        _grant_want(world, want, held)
+        _grant_want(world, waiter, held)
     else:
-        world.entry.wants[want.want] = _clear_ask(want)
+        world.entry.waiters[waiter.waiter] = _clear_ask(waiter)
 
 
 @handles_message(AskQueued)
@@ -342,26 +347,26 @@
     request if no other candidate remains.
     """
     _store_view(world, queued.view)
-    want = _find_want(world, queued.ask)
-    if want is None:
+    waiter = _find_want(world, queued.ask)
+    if waiter is None:
         return
-    want = replace(want, heard_at=world.now)
-    world.entry.wants[want.want] = want
-    if world.now + queued.expected_wait <= want.deadline_at:
+    waiter = replace(waiter, received_at=world.now)
+    world.entry.waiters[waiter.waiter] = waiter
+    if world.now + queued.expected_wait <= waiter.deadline_at:
         return
     world.events.add(
         PART,
         "cannot wait there",
-        request=want.request,
+        request=waiter.request,
         endpoint=queued.endpoint,
         reason=f"expected wait {queued.expected_wait:.2f} s is past the deadline",
     )
-    _withdraw(world, want)
-    avoid = want.avoid | {EndpointId(queued.endpoint)}
-    want = replace(_clear_ask(want), avoid=avoid)
-    world.entry.wants[want.want] = want
-    if all(each in avoid for each in want.candidates):
-        _refuse_want(world, want, RefusalReason.DEADLINE, queued.expected_wait)
+    _withdraw(world, waiter)
+    avoid = waiter.avoid | {EndpointId(queued.endpoint)}
+    waiter = replace(_clear_ask(waiter), avoid=avoid)
+    world.entry.waiters[waiter.waiter] = waiter
+    if all(each in avoid for each in waiter.candidates):
+        _refuse_want(world, waiter, RefusalReason.DEADLINE, queued.expected_wait)
 
 
 @handles_message(RefusePermit)
@@ -372,17 +377,19 @@
         world.entry.leaving[endpoint] = world.now + LEAVING_DURATION
     if refusal.reason == NOT_LEADER:
         _follow_hint(world, endpoint, refusal.leader)
-    want = _find_want(world, refusal.ask)
-    if want is None:
+    waiter = _find_want(world, refusal.ask)
+    if waiter is None:
         return
-    if refusal.leader and want.hints_followed < MAX_HINTS:
-        _send_ask(world, replace(want, hints_followed=want.hints_followed + 1))
+    if refusal.leader and waiter.hints_followed < MAX_HINTS:
+        _send_ask(world, replace(waiter, hints_followed=waiter.hints_followed + 1))
         return
     world.entry.silent_until[endpoint] = world.now + max(
         refusal.retry_after,
         world.settings.timing.tick,
     )
-    world.entry.wants[want.want] = replace(_clear_ask(want), last_reason=refusal.reason)
+    world.entry.waiters[waiter.waiter] = replace(
+        _clear_ask(waiter), last_reason=refusal.reason
+    )
 
 
 def _follow_hint(world: World, endpoint: EndpointId, leader: str) -> None:
@@ -404,7 +411,7 @@
         running=held.running - 1,
         idle_since=world.now,
         unsure=unsure,
-        told_at=NEVER if held.returned or unsure else held.told_at,
+        reported_at=NEVER if held.returned or unsure else held.reported_at,
     )
     world.entry.held[held.permit] = held
 
@@ -421,9 +428,9 @@
         expired = world.now >= held.expires_at
         unavailable = not is_available(world, held.endpoint)
         if not held.returned and (idle or expired or unavailable or held.unsure):
-            held = replace(held, returned=True, told_at=NEVER)
+            held = replace(held, returned=True, reported_at=NEVER)
             world.entry.held[held.permit] = held
-        if held.returned and world.now - held.told_at > RETURN_RETRY_INTERVAL:
+        if held.returned and world.now - held.reported_at > RETURN_RETRY_INTERVAL:
             _report_return(world, held)
 
 
@@ -440,7 +447,7 @@
         running=held.running,
         unsure=held.unsure,
     )
-    world.entry.held[held.permit] = replace(held, told_at=world.now)
+    world.entry.held[held.permit] = replace(held, reported_at=world.now)
     world.send(leader, returned)
 
 
--- a/src/kestreltally/systems/leadership.py
+++ b/src/kestreltally/systems/leadership.py
@@ -11,10 +11,10 @@
 
 from kestreltally.entities.configuration import EndpointKind
 from kestreltally.entities.endpoints import (
-    Claiming,
     LeaderRecord,
     LedEndpoint,
     Offer,
+    PendingClaim,
     Phase,
 )
 from kestreltally.entities.ids import (
@@ -205,7 +205,7 @@
         change=str(UUID(int=world.random.getrandbits(128))),
     )
     expected = 0 if before is None else before.version
-    table.claiming[endpoint] = Claiming(since=world.now, expected_version=expected)
+    table.claiming[endpoint] = PendingClaim(since=world.now, expected_version=expected)
     table.last_claims[endpoint] = world.now
     world.outbox.append(ClaimEndpoint(record=record, expected_version=expected))
     world.events.add(
@@ -279,17 +279,17 @@
     permit_wait = 0.0 if uncontested else timing.permit_life + timing.permit_margin
     unchecked = spec is not None and not spec.checks_fence and not uncontested
     orders_wait = lease_wait + timing.order_timeout if unchecked else 0.0
-    unloads_after = world.now + max(lease_wait + permit_wait, orders_wait)
+    unloads_allowed_at = world.now + max(lease_wait + permit_wait, orders_wait)
     if offer is not None:
-        unloads_after = offer.unloads_after
+        unloads_allowed_at = offer.unloads_allowed_at
     world.leaders.led[record.endpoint] = LedEndpoint(
         endpoint=record.endpoint,
         record=record,
         phase=Phase.CLAIMED,
         since=world.now,
         confirmed_at=claimed_at,
-        orders_after=world.now + orders_wait,
-        unloads_after=unloads_after,
+        orders_allowed_at=world.now + orders_wait,
+        unloads_allowed_at=unloads_allowed_at,
         unsure=frozenset() if offer is None else offer.unsure,
     )
     world.events.add(
@@ -353,9 +353,11 @@
                 endpoint=led.endpoint,
             )
         due = _get_unconfirmed_time(world, led) > lease * CONFIRM_FRACTION
-        asked_recently = world.now - led.confirm_asked_at < lease * CONFIRM_FRACTION / 2
+        asked_recently = (
+            world.now - led.confirm_requested_at < lease * CONFIRM_FRACTION / 2
+        )
         if (due or led.phase is Phase.SUSPENDED) and not asked_recently:
-            world.update_led(led, confirm_asked_at=world.now)
+            world.update_led(led, confirm_requested_at=world.now)
             world.outbox.append(ReadLeader(endpoint=led.endpoint))
 
 
@@ -372,7 +374,7 @@
         return
     led = world.update_led(led, confirmed_at=read.asked_at)
     if led.phase is Phase.SUSPENDED and is_confirmed(world, led):
-        world.update_led(led, phase=Phase.CLAIMED, fence_asked_at=NEVER)
+        world.update_led(led, phase=Phase.CLAIMED, fence_requested_at=NEVER)
         world.events.add(
             PART,
             "resumes",
@@ -390,8 +392,8 @@
         spec = world.config.endpoints[led.endpoint]
         if spec.kind is EndpointKind.SERVICE or not spec.checks_fence:
             _become_fenced(world, led)
-        elif world.now - led.fence_asked_at >= FENCE_RETRY_INTERVAL:
-            world.update_led(led, fence_asked_at=world.now)
+        elif world.now - led.fence_requested_at >= FENCE_RETRY_INTERVAL:
+            world.update_led(led, fence_requested_at=world.now)
             token = make_token(world, led)
             world.outbox.append(RaiseFence(endpoint=led.endpoint, epoch=token))
 
@@ -412,7 +414,7 @@
     if raised.outcome is OrderOutcome.DONE:
         _become_fenced(world, led)
     elif raised.outcome is OrderOutcome.FENCED_OFF:
-        world.update_led(led, confirm_asked_at=NEVER, phase=Phase.SUSPENDED)
+        world.update_led(led, confirm_requested_at=NEVER, phase=Phase.SUSPENDED)
 
 
 def _make_handed_permit(world: World, permit: GrantedPermit) -> HandedPermit:
@@ -446,7 +448,7 @@
     timeout = world.settings.timing.hand_over_timeout
     for led in list(world.leaders.led.values()):
         if led.phase is Phase.HANDING_OVER:
-            if world.now - led.handed_at > timeout:
+            if world.now - led.handed_over_at > timeout:
                 stop_leading(world, led.endpoint, "the offer was not accepted")
                 _claim(world, led.endpoint, "the offer was not accepted")
             continue
@@ -459,18 +461,22 @@
 
 def _offer(world: World, led: LedEndpoint, owner: VmId) -> None:
     """Stop granting, and send the permits to the next leader."""
-    unsure = [str(slot.adapter) for slot in led.slots.values() if slot.look_after > 0]
+    unsure = [
+        str(slot.adapter)
+        for slot in led.slots.values()
+        if slot.report_required_after > 0
+    ]
     offer = HandOver(
         endpoint=led.endpoint,
         epoch=led.record.epoch,
         version=led.record.version,
-        bar_left=max(0.0, led.unloads_after - world.now),
+        bar_left=max(0.0, led.unloads_allowed_at - world.now),
         unsure=unsure,
         permits=[
             _make_handed_permit(world, each) for each in world.permits_of(led.endpoint)
         ],
     )
-    world.update_led(led, phase=Phase.HANDING_OVER, handed_at=world.now)
+    world.update_led(led, phase=Phase.HANDING_OVER, handed_over_at=world.now)
     world.send(owner, offer)
     world.events.add(
         PART,
@@ -513,7 +519,7 @@
             )
             for each in offer.permits
         ),
-        unloads_after=world.now + offer.bar_left,
+        unloads_allowed_at=world.now + offer.bar_left,
         unsure=frozenset(parse_adapter_version(name) for name in offer.unsure),
     )
 
@@ -523,7 +529,7 @@
     """Suspend all leaderships until the object API has been read again."""
     world.leaders.offers.clear()
     for led in list(world.leaders.led.values()):
-        world.update_led(led, phase=Phase.SUSPENDED, confirm_asked_at=NEVER)
+        world.update_led(led, phase=Phase.SUSPENDED, confirm_requested_at=NEVER)
 
 
 def mark_unsure(world: World, led: LedEndpoint, adapter: AdapterVersion) -> None:
@@ -531,6 +537,9 @@
     slot = led.slots.get(adapter)
     if slot is None:
         return
-    look_after = world.now + world.settings.timing.permit_margin
-    doubtful = replace(slot, look_after=max(slot.look_after, look_after))
+    report_required_after = world.now + world.settings.timing.permit_margin
+    doubtful = replace(
+        slot,
+        report_required_after=max(slot.report_required_after, report_required_after),
+    )
     world.put_slot(led, doubtful)
--- a/src/kestreltally/systems/loading.py
+++ b/src/kestreltally/systems/loading.py
@@ -117,7 +117,7 @@
     """Return whether a request uses, or may still use, the adapter of a slot."""
     if any(True for _ in world.permits_of(led.endpoint, slot.adapter)):
         return True
-    if slot.look_after > 0:
+    if slot.report_required_after > 0:
         return True
     report = led.report
     return report is not None and report.running.get(slot.adapter, 0) > 0
@@ -125,7 +125,7 @@
 
 def can_unload(world: World, led: LedEndpoint, slot: Slot) -> bool:
     """Return whether the leader can unload the adapter of a slot now."""
-    if world.now < max(led.unloads_after, led.orders_after):
+    if world.now < max(led.unloads_allowed_at, led.orders_allowed_at):
         return False
     if led.report is None or led.report.composed_at <= led.since:
         return False
@@ -181,7 +181,7 @@
         spec = world.config.endpoints[led.endpoint]
         if spec.kind is not EndpointKind.ENGINE or not can_act(world, led):
             continue
-        if is_endpoint_leaving(world, spec) or world.now < led.orders_after:
+        if is_endpoint_leaving(world, spec) or world.now < led.orders_allowed_at:
             continue
         _cancel_unrequested(world, led)
         planned = list_loads(world, led.endpoint)
@@ -234,8 +234,8 @@
 
 def _end_load(world: World, load: Load) -> None:
     world.book.loads.pop(load.load, None)
-    if load.budget_from is not None:
-        world.send(load.budget_from, EndLoad(load=load.load))
+    if load.budget_leader is not None:
+        world.send(load.budget_leader, EndLoad(load=load.load))
 
 
 def _count_free_slots(world: World, led: LedEndpoint, besides: Load) -> int:
@@ -321,7 +321,7 @@
     unused = not any(True for _ in world.permits_of(led.endpoint, slot.adapter))
     world.invariants.require(
         UNLOAD_ONLY_UNUSED,
-        unused and slot.closing and slot.look_after == 0.0,
+        unused and slot.closing and slot.report_required_after == 0.0,
         f"{slot.adapter} on {led.endpoint}",
     )
     _require_leader(world, led)
@@ -345,7 +345,7 @@
 def _require_leader(world: World, led: LedEndpoint) -> None:
     world.invariants.require(
         ORDER_ONLY_AS_LEADER,
-        can_act(world, led) and world.now >= led.orders_after,
+        can_act(world, led) and world.now >= led.orders_allowed_at,
         f"{led.endpoint} is {led.phase.value}",
     )
 
@@ -363,9 +363,9 @@
         if not can_act(world, led):
             continue
         leader = find_budget_leader(world)
-        changed_leader = load.budget_from != leader
+        changed_leader = load.budget_leader != leader
         if changed_leader or world.now - load.asked_at > BUDGET_ASK_RETRY_INTERVAL:
-            load = _set_load(world, load, budget_from=leader, asked_at=world.now)
+            load = _set_load(world, load, budget_leader=leader, asked_at=world.now)
             if leader is not None:
                 world.send(leader, AskLoad(load=load.load, urgency=load.urgency))
         if world.now - load.since > BUDGET_FALLBACK_DELAY and _is_static_share_free(
@@ -404,7 +404,7 @@
     if load is None:
         world.send(sender, EndLoad(load=granted.load))
     elif load.state is LoadState.WAITING_FOR_BUDGET:
-        order_load(world, replace(load, budget_from=sender))
+        order_load(world, replace(load, budget_leader=sender))
 
 
 def order_load(world: World, load: Load) -> None:
@@ -419,7 +419,7 @@
         load,
         state=LoadState.ORDERED,
         asked_at=world.now,
-        budget_from=load.budget_from,
+        budget_leader=load.budget_leader,
     )
     order = LoadAdapter(
         load=load.load,
--- a/src/kestreltally/systems/membership.py
+++ b/src/kestreltally/systems/membership.py
@@ -164,7 +164,7 @@
         if before is None:
             if received.state is not MemberState.DEAD:
                 _set_member(world, received)
-        elif received.age_key() > before.age_key():
+        elif received.precedence_key() > before.precedence_key():
             merged = replace(
                 received, changed_at=before.changed_at, acked_at=before.acked_at
             )
--- a/src/kestreltally/systems/reports.py
+++ b/src/kestreltally/systems/reports.py
@@ -23,8 +23,8 @@
     """Request a report from each led endpoint when one is due."""
     period = world.settings.timing.report_period
     for led in list(world.leaders.led.values()):
-        if world.now - led.report_asked_at >= period:
-            world.update_led(led, report_asked_at=world.now)
+        if world.now - led.report_requested_at >= period:
+            world.update_led(led, report_requested_at=world.now)
             world.outbox.append(FetchReport(endpoint=led.endpoint))
 
 
@@ -64,7 +64,7 @@
         if load.endpoint == led.endpoint and load.state is LoadState.ORDERED:
             del world.book.loads[load.load]
     phase = Phase.CLAIMED if led.phase is Phase.FENCED else led.phase
-    return world.update_led(led, slots={}, phase=phase, fence_asked_at=NEVER)
+    return world.update_led(led, slots={}, phase=phase, fence_requested_at=NEVER)
 
 
 def _close_expired_permits(
@@ -118,7 +118,7 @@
                 adapter=adapter,
                 loaded_at=report.composed_at,
                 used_at=world.now,
-                look_after=world.now if doubtful else 0.0,
+                report_required_after=world.now if doubtful else 0.0,
             )
     return slots
 
@@ -134,6 +134,10 @@
 def _clear_doubt(slot: Slot, report: EndpointReport) -> Slot:
     """Clear the slot's uncertainty if a later report shows no running requests."""
     idle = report.running.get(slot.adapter, 0) == 0
-    if slot.look_after > 0 and report.composed_at > slot.look_after and idle:
-        return replace(slot, look_after=0.0)
+    if (
+        slot.report_required_after > 0
+        and report.composed_at > slot.report_required_after
+        and idle
+    ):
+        return replace(slot, report_required_after=0.0)
     return slot
--- a/src/kestreltally/world.py
+++ b/src/kestreltally/world.py
@@ -12,15 +12,15 @@
     ConfigObject,
     Endpoint,
     Rule,
-    key_of,
+    make_config_key,
 )
 from kestreltally.entities.endpoints import (
     Breaker,
-    Claiming,
     EndpointView,
     LeaderRecord,
     LedEndpoint,
     Offer,
+    PendingClaim,
     Slot,
 )
 from kestreltally.entities.ids import (
@@ -41,7 +41,7 @@
     GrantedPermit,
     HeldPermit,
     Load,
-    Want,
+    Waiter,
 )
 from kestreltally.invariants import Invariants
 from kestreltally.orders import (
@@ -98,7 +98,7 @@
 
     def find_adapter(self, name: str) -> Adapter | None:
         """Return the adapter of that name, or None."""
-        found = self.objects.get(key_of("adapter", name))
+        found = self.objects.get(make_config_key("adapter", name))
         if found is None or not isinstance(found.value, Adapter):
             return None
         return found.value
@@ -147,7 +147,7 @@
     owners: dict[EndpointId, VmId | None] = field(default_factory=dict)
     vms_by_data_centre: dict[str, list[str]] = field(default_factory=dict)
     owned_as_of: tuple[int, Revision] = (-1, -1)
-    claiming: dict[EndpointId, Claiming] = field(default_factory=dict)
+    claiming: dict[EndpointId, PendingClaim] = field(default_factory=dict)
     last_claims: dict[EndpointId, Seconds] = field(default_factory=dict)
     offers: dict[EndpointId, Offer] = field(default_factory=dict)
     sequences: dict[EndpointId, int] = field(default_factory=dict)
@@ -185,7 +185,7 @@
 class EntryBook:
     """The waiting requests and permits of this daemon as an entry."""
 
-    wants: dict[str, Want] = field(default_factory=dict)
+    waiters: dict[str, Waiter] = field(default_factory=dict)
     held: dict[PermitId, HeldPermit] = field(default_factory=dict)
     views: dict[EndpointId, EndpointView] = field(default_factory=dict)
     breakers: dict[EndpointId, Breaker] = field(default_factory=dict)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,8 +10,8 @@
 import looptime
 from result import Err
 
-from kestreltally.callers.identity import digest_key, find_caller
-from kestreltally.callers.reading import read_completion, read_service_call
+from kestreltally.callers.identity import authenticate_caller, digest_key
+from kestreltally.callers.parsing import parse_completion, parse_service_call
 from kestreltally.daemon import make_world
 from kestreltally.entities.configuration import (
     Adapter,
@@ -22,8 +22,8 @@
     Endpoint,
     EndpointKind,
     Rule,
-    key_of,
-    write_config_object,
+    encode_config_object,
+    make_config_key,
 )
 from kestreltally.orders import StopRequested
 from kestreltally.peers.messages import Envelope
@@ -31,7 +31,7 @@
 from kestreltally.requests.claims import Claims
 from kestreltally.requests.flow import RequestServer
 from kestreltally.requests.outcomes import Outcome, Refusal
-from kestreltally.requests.relay import read_events
+from kestreltally.requests.relay import parse_events
 from kestreltally.runtime import Ports, Runtime
 from kestreltally.settings import check_settings
 from kestreltally.timeline.events import Event
@@ -83,18 +83,18 @@
 class Sink:
     """What a caller got."""
 
-    def __init__(self, holds_back: bool) -> None:
-        self.holds_back = holds_back
+    def __init__(self, is_buffered: bool) -> None:
+        self.is_buffered = is_buffered
         self.data = b""
         self.head: AnswerHead | None = None
 
-    async def begin(self, head: AnswerHead) -> None:
+    async def start(self, head: AnswerHead) -> None:
         self.head = head
 
     async def send(self, data: bytes) -> None:
         self.data += data
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         self.data = b""
 
 
@@ -266,7 +266,9 @@
             by="test",
             change=str(self.serial),
         )
-        stored = await self.store.put(key_of(kind, name), write_config_object(changed))
+        stored = await self.store.put(
+            make_config_key(kind, name), encode_config_object(changed)
+        )
         return stored.revision
 
     async def start(self) -> None:
@@ -375,7 +377,7 @@
     async def _serve(
         self, node: Node, sent: Sent, deadline: float, stream: bool, service: bool
     ) -> None:
-        sink = Sink(holds_back=not stream)
+        sink = Sink(is_buffered=not stream)
         try:
             await node.gate.pass_through()
             result = await self._read_and_serve(node, sent, sink, deadline, service)
@@ -391,7 +393,7 @@
         if not service:
             sent.text = "".join(
                 choice.text
-                for event in read_events(sink.data)
+                for event in parse_events(sink.data)
                 for choice in event.choices
             )
         sent.done = True
@@ -404,11 +406,11 @@
         headers["X-Deadline-Seconds"] = str(deadline)
         if not sent.repeatable:
             headers["X-Not-Repeatable"] = "true"
-        caller = find_caller(world, headers["Authorization"])
+        caller = authenticate_caller(world, headers["Authorization"])
         if isinstance(caller, Err):
             return caller
         if service:
-            read = read_service_call(
+            read = parse_service_call(
                 world,
                 caller.ok_value,
                 "POST",
@@ -422,7 +424,7 @@
                 return read
             return await node.server.serve(read.ok_value, sink)
         body = {"model": sent.adapter, "prompt": sent.prompt, "max_tokens": TOKENS}
-        found = read_completion(
+        found = parse_completion(
             world,
             caller.ok_value,
             "/v1/completions",
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -117,7 +117,7 @@
     ) -> None:
         start_leading(world, record, claimed_at, offer)
         led = world.leaders.led[record.endpoint]
-        world.update_led(led, orders_after=0.0, unloads_after=0.0)
+        world.update_led(led, orders_allowed_at=0.0, unloads_allowed_at=0.0)
 
     _replace(stack, leadership, "_start_leading", start_without_waits)
     _replace(
@@ -183,7 +183,7 @@
         await self._objects.delete(key, (await self._objects.read(key)).version)
         return Ok(Claim(key=key, value=value, version=0))
 
-    _replace(stack, Claims, "_resolve", resolve)
+    _replace(stack, Claims, "_resolve_lost_answer", resolve)
 
 
 @register_mutation(
@@ -194,12 +194,12 @@
     Cell("request sent", "engines restart"),
 )
 def retry_all(stack: ExitStack) -> None:
-    evaluate = RequestServer._judge_failure
+    evaluate = RequestServer._evaluate_failure
 
     def evaluate_as_repeatable(self: Any, request: Any, *rest: Any) -> Any:
         return evaluate(self, replace(request, repeatable=True), *rest)
 
-    _replace(stack, RequestServer, "_judge_failure", evaluate_as_repeatable)
+    _replace(stack, RequestServer, "_evaluate_failure", evaluate_as_repeatable)
 
 
 @register_mutation(
@@ -209,7 +209,9 @@
     Cell("first token", "streams cut"),
 )
 def report_not_run(stack: ExitStack) -> None:
-    _replace(stack, RequestServer, "_outcome_of", lambda self, way: Outcome.NOT_RUN)
+    _replace(
+        stack, RequestServer, "_get_outcome", lambda self, progress: Outcome.NOT_RUN
+    )
 
 
 @register_mutation(
@@ -238,7 +240,7 @@
     Cell("first token", "wrong version"),
 )
 def ignore_names(stack: ExitStack) -> None:
-    _replace(stack, Relay, "_check_names", lambda self, whole: None)
+    _replace(stack, Relay, "_check_adapter", lambda self, whole: None)
     relay = RequestServer._relay
 
     async def relay_as_named(
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -9,9 +9,9 @@
 from result import Err, Ok
 
 from bench.slopes import make_test_world
-from kestreltally.callers.identity import digest_key, find_caller
-from kestreltally.callers.reading import read_completion, read_service_call
-from kestreltally.callers.sinks import WholeSink
+from kestreltally.callers.identity import authenticate_caller, digest_key
+from kestreltally.callers.parsing import parse_completion, parse_service_call
+from kestreltally.callers.sinks import BufferedSink
 from kestreltally.entities.configuration import (
     Adapter,
     Caller,
@@ -62,15 +62,15 @@
     return world
 
 
-def read(body: Any, world: World | None = None, **headers: str) -> Any:
+def parse(body: Any, world: World | None = None, **headers: str) -> Any:
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     raw = body if isinstance(body, bytes) else json.dumps(body).encode()
     chosen = world or make_world()
-    return read_completion(chosen, CALLER, "/v1/completions", named, raw, 0.0)
+    return parse_completion(chosen, CALLER, "/v1/completions", named, raw, 0.0)
 
 
 BODY = {"model": "a", "prompt": "p"}
-BAD = {
+MALFORMED_REQUESTS = {
     "body not JSON": (b"{", {}, RefusalReason.MALFORMED, "body"),
     "body a list": ([], {}, RefusalReason.MALFORMED, "body"),
     "no model": ({"prompt": "p"}, {}, RefusalReason.MALFORMED, "model"),
@@ -138,18 +138,18 @@
 }
 
 
-@pytest.mark.parametrize("name", BAD)
-def test_mistake_is_named(name: str) -> None:
-    body, headers, reason, text = BAD[name]
-    refused = read(body, **headers)  # type: ignore[arg-type]
+@pytest.mark.parametrize("name", MALFORMED_REQUESTS)
+def test_refusal_names_the_error(name: str) -> None:
+    body, headers, reason, text = MALFORMED_REQUESTS[name]
+    refused = parse(body, **headers)  # type: ignore[arg-type]
     assert isinstance(refused, Err)
     assert refused.err_value.reason is reason
     assert refused.err_value.outcome is Outcome.NOT_RUN
     assert text in refused.err_value.message
 
 
-def test_a_good_request_is_read() -> None:
-    result = read({"model": "a", "prompt": "p", "stream": True}, X_Priority="batch")
+def test_valid_request_is_parsed() -> None:
+    result = parse({"model": "a", "prompt": "p", "stream": True}, X_Priority="batch")
     assert isinstance(result, Ok)
     request, streamed = result.ok_value
     assert streamed and request.priority is Priority.BATCH
@@ -157,33 +157,33 @@
 
 
 def test_a_caller_cannot_raise_its_own_priority() -> None:
-    request, _ = read(BODY, X_Priority="interactive").ok_value
+    request, _ = parse(BODY, X_Priority="interactive").ok_value
     assert request.priority is Priority.STANDARD
 
 
-def test_deny_goes_before_allow() -> None:
-    refused = read(BODY, make_world(without=()))
+def test_deny_overrides_allow() -> None:
+    refused = parse(BODY, make_world(without=()))
     assert "rule r3 denies it" in refused.err_value.message
 
 
-def test_a_strict_rule_refuses_when_nothing_confirms_the_revision() -> None:
+def test_strict_rule_refuses_while_the_revision_is_unconfirmed() -> None:
     world = make_world()
     body = {"model": "strict", "prompt": "p"}
-    assert isinstance(read(body, world), Ok)
+    assert isinstance(parse(body, world), Ok)
     world.now += world.settings.stale_after + 1.0
-    refused = read(body, world).err_value
+    refused = parse(body, world).err_value
     assert refused.reason is RefusalReason.STALE_CONFIGURATION
-    assert isinstance(read(BODY, world), Ok)
+    assert isinstance(parse(BODY, world), Ok)
 
 
 @pytest.mark.parametrize("key", ["old", "new"])
-def test_two_keys_are_valid_while_they_are_rotated(key: str) -> None:
-    assert find_caller(make_world(), f"Bearer {key}").ok_value == CALLER
+def test_both_keys_are_valid_during_rotation(key: str) -> None:
+    assert authenticate_caller(make_world(), f"Bearer {key}").ok_value == CALLER
 
 
 @pytest.mark.parametrize("header", ["", "Bearer", "Bearer x", "Basic old", "old"])
-def test_unknown_key_is_refused_without_telling_it(header: str) -> None:
-    refused = find_caller(make_world(), header).err_value
+def test_unknown_key_is_refused_without_echoing_it(header: str) -> None:
+    refused = authenticate_caller(make_world(), header).err_value
     assert refused.reason is RefusalReason.UNKNOWN_KEY
     assert "old" not in refused.message and "x" not in refused.message.split("'")[0]
 
@@ -196,24 +196,24 @@
         ("POST", {"X-Request-Id": "r"}, False),
     ],
 )
-def test_what_may_be_repeated_at_a_service(
+def test_repeatability_of_service_calls(
     method: str, headers: dict[str, str], repeatable: bool
 ) -> None:
-    result = read_service_call(
+    result = parse_service_call(
         make_world(), CALLER, method, "/ledger/x", "/ledger/x?y=1", headers, b"", 0.0
     )
     assert result.ok_value.repeatable is repeatable
 
 
 def test_not_repeatable_call_needs_an_id() -> None:
-    result = read_service_call(
+    result = parse_service_call(
         make_world(), CALLER, "POST", "/ledger/x", "/ledger/x", {}, b"", 0.0
     )
     assert "X-Request-Id: needed for POST" in result.err_value.message
 
 
-async def test_a_whole_answer_is_composed_in_the_usual_form() -> None:
-    sink = WholeSink()
+async def test_buffered_answer_has_the_usual_json_form() -> None:
+    sink = BufferedSink()
     await sink.send(
         b'data: {"model":"a@2","choices":[{"text":" x","token_ids":[1]}]}\n\n'
         b'data: {"model":"a@2","choices":[{"text":" y","token_ids":[2]}]}\n\n'
@@ -225,5 +225,12 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.binary(max_size=80), st.text(max_size=20), st.text(max_size=10))
-def test_no_request_does_worse_than_an_error(raw: bytes, one: str, two: str) -> None:
-    read(raw, X_Request_Id=one, X_Deadline_Seconds=two, X_Priority=two)
+def test_arbitrary_request_never_raises(
+    raw: bytes, request_id: str, header_value: str
+) -> None:
+    parse(
+        raw,
+        X_Request_Id=request_id,
+        X_Deadline_Seconds=header_value,
+        X_Priority=header_value,
+    )
--- a/tests/test_http_clients.py
+++ b/tests/test_http_clients.py
@@ -30,35 +30,37 @@
 
 
 @asynccontextmanager
-async def serve_and_hang_up(requests: list[bytes]) -> AsyncIterator[str]:
+async def serve_and_disconnect(requests: list[bytes]) -> AsyncIterator[str]:
     """Take each request in, and close the connection instead of answering."""
 
-    async def take(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def read_and_disconnect(
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter
+    ) -> None:
         requests.append(await reader.readuntil(b"\r\n\r\n"))
         writer.close()
 
-    server = await asyncio.start_server(take, "127.0.0.1", 0)
+    server = await asyncio.start_server(read_and_disconnect, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()[:2]
     yield f"http://{host}:{port}"
     server.close()
 
 
 @pytest.mark.parametrize("method", ["PUT", "DELETE", "POST", "GET"])
-async def test_a_call_that_was_cut_off_is_not_sent_again(method: str) -> None:
+async def test_interrupted_call_is_not_resent(method: str) -> None:
     requests: list[bytes] = []
     call = ServiceCall(AttemptId("r/1"), method, "/x", {}, b"")
-    async with serve_and_hang_up(requests) as url, open_session() as session:
+    async with serve_and_disconnect(requests) as url, open_session() as session:
         with pytest.raises(AttemptLost):
             await HttpServiceClient(session).call(url, call)
     assert len(requests) == 1
 
 
 @pytest.mark.parametrize(
-    ("status", "meaning"),
+    ("status", "error"),
     [(409, EndpointRefused), (503, EndpointRefused), (500, AttemptLost)],
 )
-async def test_only_an_agreed_status_means_not_run(
-    status: int, meaning: type[Exception]
+async def test_only_agreed_statuses_mean_not_run(
+    status: int, error: type[Exception]
 ) -> None:
     async def answer(_: web.Request) -> web.Response:
         return web.json_response({"reason": "not_loaded"}, status=status)
@@ -72,28 +74,28 @@
     adapter = AdapterVersion("a", 1)
     attempt = EngineAttempt(AttemptId("r/1"), adapter, "/v1/completions", {}, 1, 0)
     async with open_session() as session:
-        with pytest.raises(meaning):
+        with pytest.raises(error):
             await HttpEngineClient(session).start(url, attempt)
     await runner.cleanup()
 
 
-async def test_a_write_that_was_cut_off_is_not_sent_again() -> None:
+async def test_interrupted_write_is_not_resent() -> None:
     requests: list[bytes] = []
-    async with serve_and_hang_up(requests) as url, open_session() as session:
+    async with serve_and_disconnect(requests) as url, open_session() as session:
         objects = HttpObjectApi(session, url, timeout=1.0)
         with pytest.raises(AnswerLost):
             await objects.write("k", {}, 0)
     assert len(requests) == 1
 
 
-async def test_no_connection_means_nothing_was_taken() -> None:
+async def test_failed_connection_means_not_applied() -> None:
     async with open_session() as session:
         objects = HttpObjectApi(session, "http://127.0.0.1:1", timeout=1.0)
         with pytest.raises(ObjectApiDown):
             await objects.read("k")
 
 
-class TwiceView(StoreView):
+class DuplicatingView(StoreView):
     """An object API that every write reaches twice."""
 
     async def write(
@@ -103,11 +105,11 @@
         return await super().write(key, value, expected_version)
 
 
-async def test_a_claim_found_to_be_ones_own_is_held() -> None:
+async def test_conflict_with_own_claim_counts_as_held() -> None:
     """A write may reach the object API twice: the second conflicts with the first."""
     store = FakeStore(Faults(), Random(1))
-    claims = Claims(TwiceView(store, "vm-0", Gate()), lambda: 0.0)
-    held = await claims.claim("till", RequestId("r"), "vm-0/1")
-    assert isinstance(held, Ok)
+    claims = Claims(DuplicatingView(store, "vm-0", Gate()), lambda: 0.0)
+    claimed = await claims.claim("till", RequestId("r"), "vm-0/1")
+    assert isinstance(claimed, Ok)
     other = await claims.claim("till", RequestId("r"), "vm-0/2")
     assert isinstance(other, Err)
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from kestreltally.entities.configuration import MalformedObject, read_config_object
+from kestreltally.entities.configuration import MalformedObject, parse_config_object
 from kestreltally.objectapi.records import read_config_objects, read_leader_record
 from kestreltally.ports import StoredObject
 
@@ -48,7 +48,7 @@
 def test_malformed_object_is_named(name: str) -> None:
     key, value, text = BAD[name]
     with pytest.raises(MalformedObject) as caught:
-        read_config_object(key, value, 1)
+        parse_config_object(key, value, 1)
     assert key in str(caught.value) and text in str(caught.value)
 
 
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -4,7 +4,7 @@
 
 from kestreltally.entities.ids import AdapterVersion
 from kestreltally.ports import AttemptLost
-from kestreltally.requests.relay import Relay, WronglyNamed
+from kestreltally.requests.relay import AdapterMismatch, Relay
 
 ADAPTER = AdapterVersion(adapter="balances", version=3)
 
@@ -18,32 +18,32 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 50, 1000])
-def test_whole_answer_in_pieces_of_any_size(size: int) -> None:
+def test_answer_is_complete_for_any_chunk_size(size: int) -> None:
     data = make_event("one", 4) + make_event("two", 5) + DONE
     relay = Relay(ADAPTER)
-    pieces = [data[at : at + size] for at in range(0, len(data), size)]
-    handed_on = b"".join(relay.feed(piece) for piece in pieces)
-    assert handed_on == data.removesuffix(DONE)
+    chunks = [data[at : at + size] for at in range(0, len(data), size)]
+    passed_on = b"".join(relay.feed(chunk) for chunk in chunks)
+    assert passed_on == data.removesuffix(DONE)
     assert relay.ended
     assert relay.list_token_ids() == (4, 5)
 
 
-def test_cut_answer_hands_on_no_half_event() -> None:
+def test_partial_event_is_not_passed_on() -> None:
     relay = Relay(ADAPTER)
-    whole = make_event("one")
-    assert relay.feed(whole + make_event("two")[:-5]) == whole
+    complete_event = make_event("one")
+    assert relay.feed(complete_event + make_event("two")[:-5]) == complete_event
     assert not relay.ended
 
 
 @pytest.mark.parametrize("model", ["balances@2", "balances@33", "other@3"])
-def test_wrong_name_is_never_handed_on(model: str) -> None:
+def test_event_of_another_adapter_is_never_passed_on(model: str) -> None:
     relay = Relay(ADAPTER)
     relay.feed(make_event("one"))
-    with pytest.raises(WronglyNamed):
+    with pytest.raises(AdapterMismatch):
         relay.feed(make_event("two", model=model))
 
 
-def test_name_written_with_spaces_is_read() -> None:
+def test_model_field_with_spaces_is_accepted() -> None:
     relay = Relay(ADAPTER)
     event = b'data: {"model": "balances@3", "choices": []}\n\n'
     assert relay.feed(event) == event
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -8,7 +8,7 @@
 from tests.fleet import Fleet, Sent, run_virtual
 
 
-async def break_off(stream: bool) -> tuple[Fleet, Sent]:
+async def interrupt_answer(stream: bool) -> tuple[Fleet, Sent]:
     """Restart every engine but one in the middle of an answer."""
     fleet = Fleet(unchecked=0)
     await fleet.start()
@@ -18,8 +18,8 @@
     while not any(endpoint.running for endpoint in fleet.endpoints.values()):
         await fleet.settle(0.01)
     await fleet.settle(0.22)
-    (busy,) = [each for each in fleet.endpoints.values() if each.running]
-    busy.running[0].killed = True
+    (busy_endpoint,) = [each for each in fleet.endpoints.values() if each.running]
+    busy_endpoint.running[0].killed = True
     await fleet.settle(8.0)
     await fleet.close()
     return fleet, sent
@@ -32,28 +32,30 @@
     await fleet.settle(1.5)
 
 
-def serve(stream: bool, resume: bool) -> Sent:
+def serve_interrupted(stream: bool, resume: bool) -> Sent:
     if resume:
-        fleet, sent = run_virtual(break_off(stream))
+        fleet, sent = run_virtual(interrupt_answer(stream))
     else:
         with patch.object(Relay, "list_token_ids", lambda self: None):
-            fleet, sent = run_virtual(break_off(stream))
+            fleet, sent = run_virtual(interrupt_answer(stream))
     assert fleet.list_problems() == []
     return sent
 
 
 @pytest.mark.parametrize("stream", [True, False])
-def test_a_broken_answer_is_continued_to_the_same_text(stream: bool) -> None:
-    assert serve(stream, resume=True).done
+def test_interrupted_answer_resumes_to_the_same_text(stream: bool) -> None:
+    assert serve_interrupted(stream, resume=True).done
 
 
-def test_a_stream_that_cannot_be_continued_is_told_broken_off() -> None:
-    refusal = serve(stream=True, resume=False).refusal
+def test_stream_that_cannot_resume_is_reported_as_cut_off() -> None:
+    refusal = serve_interrupted(stream=True, resume=False).refusal
     assert refusal is not None and refusal.reason.value == "answer_cut_off"
 
 
-def test_continuing_ends_sooner_than_a_restart() -> None:
-    continued, restarted = (serve(stream=False, resume=each) for each in (True, False))
+def test_resuming_ends_sooner_than_a_restart() -> None:
+    resumed, restarted = (
+        serve_interrupted(stream=False, resume=each) for each in (True, False)
+    )
     assert restarted.done
-    took = continued.ended_at - continued.at
+    took = resumed.ended_at - resumed.at
     assert took < 0.8 * (restarted.ended_at - restarted.at)
