--- a/src/kestreltally/callers/__init__.py
+++ b/src/kestreltally/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' HTTP interface of the product's own way."""
+"""The HTTP API for callers."""
--- a/src/kestreltally/callers/api.py
+++ b/src/kestreltally/callers/api.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP surface: model servers' usual paths, and plain services."""
+"""The HTTP API for callers: the usual paths of model servers, and plain services."""
 
 import logging
 import math
@@ -45,7 +45,7 @@
 
 
 class CallerApi:
-    """The handlers of the callers' side of one daemon."""
+    """The HTTP handlers for callers at one daemon."""
 
     def __init__(
         self,
@@ -75,7 +75,7 @@
     async def _authenticate_and_read(
         self, http: web.Request
     ) -> tuple[Caller, bytes] | web.Response:
-        """Return who calls and the body, or the refusal."""
+        """Return the caller and the request body, or a refusal response."""
         request = http.headers.get(HEADER_REQUEST, "")
         if not self._server.is_accepting:
             stopping = refuse(RefusalReason.STOPPING, "this daemon is stopping", 1.0)
@@ -94,7 +94,7 @@
             return self._refuse(large.err_value, request)
 
     def _make_unique(self, request: CallerRequest) -> CallerRequest:
-        """Tell repeats of a repeatable request id apart inside."""
+        """Give a repeatable request its own internal id if its id is in use."""
         if not request.repeatable or request.request not in self._server.live:
             return request
         self._serial += 1
@@ -185,7 +185,7 @@
         return await self._serve_stream(http, request, external_id, as_event=False)
 
     async def list_models(self, http: web.Request) -> web.StreamResponse:
-        """List the adapters that the caller may use."""
+        """List the adapters that the caller is allowed to use."""
         authenticated = await self._authenticate_and_read(http)
         if isinstance(authenticated, web.Response):
             return authenticated
--- a/src/kestreltally/callers/identity.py
+++ b/src/kestreltally/callers/identity.py
@@ -1,4 +1,4 @@
-"""Who calls, and what the rules allow."""
+"""Authentication of callers, and their authorization by rules."""
 
 import hmac
 from hashlib import sha256
@@ -17,12 +17,12 @@
 
 
 def digest_key(key: str) -> str:
-    """Return the form in which a caller's key is kept."""
+    """Return the digest under which a caller's key is stored."""
     return sha256(key.encode()).hexdigest()
 
 
 def authenticate_caller(world: World, authorization: str) -> Result[Caller, Refusal]:
-    """Return the caller whose key the header carries."""
+    """Return the caller whose key is in the Authorization header."""
     if authorization.startswith(BEARER):
         digest = digest_key(authorization[len(BEARER) :].strip())
         caller = world.config.callers_of_digest.get(digest)
@@ -40,14 +40,14 @@
 
 
 def list_matching_rules(world: World, caller: str, adapter: str) -> list[Rule]:
-    """Return the rules that speak of a caller and an adapter."""
+    """Return the rules that apply to a caller and an adapter."""
     table = world.config.rules_of_adapter
     candidates = [*table.get(adapter, {}).values(), *table.get(ANY, {}).values()]
     return [rule for rule in candidates if rule.matches(caller, adapter)]
 
 
 def check_rules(world: World, caller: str, adapter: str) -> Refusal | None:
-    """Return why a caller may not use an adapter, or none if it may."""
+    """Return why a caller may not use an adapter, or None if it may."""
     rules = list_matching_rules(world, caller, adapter)
     denied = [rule.name for rule in rules if rule.effect is Effect.DENY]
     if denied or not rules:
@@ -62,7 +62,7 @@
         return Refusal(
             reason=RefusalReason.STALE_CONFIGURATION,
             outcome=Outcome.NOT_RUN,
-            message="the rules cannot be confirmed to be the newest",
+            message="the rules cannot be confirmed to be up to date",
             retry_after=STALE_RETRY_AFTER,
         )
     return None
--- a/src/kestreltally/callers/parsing.py
+++ b/src/kestreltally/callers/parsing.py
@@ -1,4 +1,4 @@
-"""Turn a caller's HTTP request into a checked, typed one."""
+"""Parse and validate the HTTP requests of callers."""
 
 import math
 from collections.abc import Mapping
@@ -61,7 +61,7 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """The parts of a completion's body that concern this system."""
+    """The fields of a completion body that this system uses."""
 
     model: str
     stream: bool = False
@@ -70,7 +70,7 @@
 
 
 class Headers(msgspec.Struct, frozen=True):
-    """What a caller asks for by headers."""
+    """The options that a caller sets by headers."""
 
     request: str
     deadline: Seconds
@@ -83,7 +83,7 @@
     message: str,
     retry_after: Seconds = 0.0,
 ) -> Err[Refusal]:
-    """Return a refusal of something that was surely not run."""
+    """Return a refusal of a request that was definitely not run."""
     return Err(
         Refusal(
             reason=reason,
@@ -99,7 +99,7 @@
     caller: Caller,
     headers: Mapping[str, str],
 ) -> Result[Headers, Refusal]:
-    """Return what the headers ask for, or which one is malformed."""
+    """Return the options in the headers, or a refusal that names the malformed one."""
     request = headers.get(HEADER_REQUEST, "") or uuid4().hex
     if len(request) > MAX_REQUEST_ID_LENGTH or not _is_valid_id(request):
         return refuse(
@@ -158,7 +158,7 @@
 
 
 def resolve_version(world: World, name: str) -> Result[tuple[Adapter, int], Refusal]:
-    """Return the adapter and version that a caller's ``model`` names."""
+    """Return the adapter and version named by a caller's ``model`` field."""
     requested = AdapterVersion(adapter=name, version=0)
     if VERSION_SEPARATOR in name:
         try:
@@ -173,13 +173,13 @@
         known = ", ".join(map(str, adapter.versions)) or "none"
         return refuse(
             RefusalReason.UNKNOWN_ADAPTER,
-            f"model: {name!r} has no such published version; there are: {known}",
+            f"model: {name!r} is not a published version; there are: {known}",
         )
     return Ok((adapter, version))
 
 
 def make_internal_id(caller: Caller, request: str) -> RequestId:
-    """Return the id under which a request is known inside: with its caller."""
+    """Return the internal request id, which includes the caller's name."""
     return RequestId(f"{caller.name}:{request}")
 
 
@@ -191,7 +191,7 @@
     raw: bytes,
     now: Seconds,
 ) -> Result[tuple[CallerRequest, bool], Refusal]:
-    """Return the request and whether it is to be streamed, or what is wrong."""
+    """Return the request and whether to stream the answer, or a refusal."""
     parsed_headers = parse_headers(world, caller, headers)
     if isinstance(parsed_headers, Err):
         return parsed_headers
@@ -233,7 +233,7 @@
 
 
 def match_service(world: World, path: str) -> tuple[str, list[Endpoint]]:
-    """Return the longest prefix of plain services that fits a path, and those."""
+    """Return the longest service prefix matching a path, and its endpoints."""
     services_by_prefix: dict[str, list[Endpoint]] = {}
     for spec in world.config.endpoints_of_model.get("", {}).values():
         prefix = spec.prefix.rstrip("/")
@@ -254,13 +254,15 @@
     raw: bytes,
     now: Seconds,
 ) -> Result[CallerRequest, Refusal]:
-    """Return the request to a plain service, or what is wrong with it."""
+    """Return the request to a plain service, or a refusal."""
     parsed_headers = parse_headers(world, caller, headers)
     if isinstance(parsed_headers, Err):
         return parsed_headers
     prefix, specs = match_service(world, path)
     if not specs:
-        return refuse(RefusalReason.UNKNOWN_ADAPTER, f"no service under {path}")
+        return refuse(
+            RefusalReason.UNKNOWN_ADAPTER, f"no service serves the path {path}"
+        )
     denied = check_rules(world, caller.name, prefix)
     if denied is not None:
         return Err(denied)
@@ -270,7 +272,7 @@
     if not repeatable and HEADER_REQUEST not in headers:
         return refuse(
             RefusalReason.MALFORMED,
-            f"{HEADER_REQUEST}: needed for {method}, which is not repeatable here",
+            f"{HEADER_REQUEST}: needed for {method}, which is not repeatable",
         )
     forwarded = {
         name: value
--- a/src/kestreltally/callers/sinks.py
+++ b/src/kestreltally/callers/sinks.py
@@ -1,4 +1,4 @@
-"""Where answers go: an open HTTP response, or a whole JSON body."""
+"""Sinks of answers: a streamed HTTP response, or a buffered JSON body."""
 
 from typing import Any, Final
 
@@ -41,7 +41,7 @@
 
 
 class StreamSink:
-    """Hands an answer on as it comes."""
+    """Streams an answer to the caller as it arrives."""
 
     is_buffered = False
 
@@ -51,7 +51,7 @@
         self.response: web.StreamResponse | None = None
 
     async def start(self, head: AnswerHead) -> None:
-        """Send the head of the response."""
+        """Send the status and headers of the response."""
         headers = {HEADER_REQUEST: self._request, **STREAM_HEADERS}
         if head.headers is not None:
             forwarded = {
@@ -66,15 +66,15 @@
         await self.response.prepare(self._http)
 
     async def send(self, data: bytes) -> None:
-        """Send bytes; waits while the caller does not read."""
+        """Send bytes; wait while the caller does not read."""
         assert self.response is not None
         await self.response.write(data)
 
     def discard(self) -> None:
-        """Nothing is held back here."""
+        """Do nothing: a stream buffers no bytes."""
 
     async def finish(self, with_end_mark: bool) -> web.StreamResponse:
-        """End a whole answer."""
+        """End a complete answer."""
         assert self.response is not None
         if with_end_mark:
             await self.response.write(END_MARK + EVENT_END)
@@ -82,7 +82,10 @@
         return self.response
 
     async def abort(self, refusal: Refusal, as_event: bool) -> web.StreamResponse:
-        """End an answer that is not whole so that the caller can see it."""
+        """End an incomplete answer so that the caller can detect it.
+
+        Sends an error event with ``as_event``, else aborts the connection.
+        """
         assert self.response is not None
         if as_event:
             error = msgspec.json.encode(describe_refusal(refusal, self._request))
@@ -94,7 +97,7 @@
 
 
 class BufferedSink:
-    """Holds an answer back until it is whole."""
+    """Buffers an answer until it is complete."""
 
     is_buffered = True
 
@@ -103,19 +106,19 @@
         self.head: AnswerHead | None = None
 
     async def start(self, head: AnswerHead) -> None:
-        """Keep the head."""
+        """Store the status and headers."""
         self.head = head
 
     async def send(self, data: bytes) -> None:
-        """Keep bytes."""
+        """Buffer bytes."""
         self._chunks.append(data)
 
     def discard(self) -> None:
-        """Drop what was kept."""
+        """Discard the buffered bytes."""
         self._chunks.clear()
 
     def compose(self, request: str, chat: bool) -> dict[str, Any]:
-        """Return the whole answer in the usual form of model servers."""
+        """Return the complete answer in the usual JSON form of model servers."""
         events = parse_events(b"".join(self._chunks))
         text = "".join(_get_text(event) for event in events)
         ids = [id_ for event in events for c in event.choices for id_ in c.token_ids]
--- a/src/kestreltally/endpoints/__init__.py
+++ b/src/kestreltally/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Engines and plain services of the product's own way, over HTTP."""
+"""HTTP clients of model engines and plain services."""
--- a/src/kestreltally/endpoints/answers.py
+++ b/src/kestreltally/endpoints/answers.py
@@ -1,4 +1,4 @@
-"""An HTTP answer of an endpoint, under way."""
+"""An HTTP answer that is being received from an endpoint."""
 
 from collections.abc import AsyncIterator
 
@@ -8,7 +8,7 @@
 
 
 class HttpAnswer:
-    """Implements the port ``Answer`` over an open response."""
+    """Implements the port ``Answer`` for an open HTTP response."""
 
     def __init__(self, response: ClientResponse, head: AnswerHead) -> None:
         self._response = response
@@ -16,19 +16,21 @@
 
     @property
     def head(self) -> AnswerHead:
-        """Return what the endpoint said first."""
+        """Return the answer's status and headers."""
         return self._head
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yield the bytes as they come; raises ``AttemptLost`` when cut."""
+        """Yield bytes as they arrive; raises ``AttemptLost`` if they end early."""
         try:
             async for chunk in self._response.content.iter_any():
                 yield chunk
         except (ClientError, OSError) as error:
-            raise AttemptLost(f"the answer was cut: {error!r}") from error
+            raise AttemptLost(
+                f"connection lost while receiving the answer: {error!r}"
+            ) from error
 
     async def close(self) -> None:
-        """Give the connection back after a whole answer, else close it."""
+        """Release the connection if the answer is complete, else close it."""
         if self._response.content.at_eof():
             self._response.release()
         else:
--- a/src/kestreltally/endpoints/engines.py
+++ b/src/kestreltally/endpoints/engines.py
@@ -1,4 +1,4 @@
-"""Model engines over HTTP: fenced orders, reports, attempts."""
+"""HTTP client of model engines: fenced orders, reports, attempts."""
 
 import asyncio
 from typing import Any, Final, NoReturn
@@ -37,7 +37,7 @@
 
 
 class ReportBody(msgspec.Struct, frozen=True):
-    """An engine's report as it comes; ``age`` is how old it is, in seconds."""
+    """The JSON body of an engine's report; ``age`` is its age in seconds."""
 
     instance: str
     age: float = 0.0
@@ -48,14 +48,14 @@
 
 
 class RefusalBody(msgspec.Struct, frozen=True):
-    """An engine's refusal as it comes."""
+    """The JSON body of an engine's refusal."""
 
     reason: str = "refused"
     retry_after: float = 0.0
 
 
 def parse_report(raw: bytes, endpoint: str, asked_at: Seconds) -> EndpointReport:
-    """Return the typed report; raises ``msgspec.MsgspecError`` or ``ValueError``."""
+    """Parse a report; raises ``msgspec.MsgspecError`` or ``ValueError``."""
     body = msgspec.json.decode(raw, type=ReportBody)
     return EndpointReport(
         endpoint=EndpointId(endpoint),
@@ -75,7 +75,7 @@
     endpoint: str,
     url: str,
 ) -> EndpointReport | None:
-    """Return an endpoint's report, or none when there is no readable answer."""
+    """Return an endpoint's report, or None if there is no valid answer."""
     asked_at = asyncio.get_running_loop().time()
     try:
         async with session.get(
@@ -91,7 +91,7 @@
 
 
 def parse_refusal(raw: bytes) -> RefusalBody:
-    """Return what an endpoint said when it refused."""
+    """Parse a refusal; a malformed body gives the default refusal."""
     try:
         return msgspec.json.decode(raw, type=RefusalBody)
     except msgspec.MsgspecError:
@@ -102,17 +102,17 @@
     response: ClientResponse,
     not_run_statuses: frozenset[int],
 ) -> NoReturn:
-    """Raise what a status other than success means.
+    """Raise the error for an unsuccessful response.
 
-    Only a status that is agreed to mean "not run" is a refusal; after any other,
-    as after a body that breaks off, the attempt may have run.
+    Only the statuses agreed to mean "not run" are refusals. After any other status, or
+    a body that ends early, the attempt may have run.
     """
     try:
         raw = await response.read()
     except ClientError as error:
         raise AttemptLost(repr(error)) from error
     if response.status not in not_run_statuses:
-        raise AttemptLost(f"status {response.status}")
+        raise AttemptLost(f"unexpected status {response.status}")
     refusal = parse_refusal(raw)
     raise EndpointRefused(refusal.reason, refusal.retry_after)
 
@@ -158,7 +158,7 @@
         adapter: AdapterVersion,
         token: int,
     ) -> OrderOutcome:
-        """Load an adapter version; returns when it is loaded or has failed."""
+        """Load an adapter version; return once it is loaded or has failed."""
         body = {"adapter": str(adapter), "token": token}
         return await self._send_order(url, "load", body)
 
@@ -173,7 +173,7 @@
         return await self._send_order(url, "unload", body)
 
     async def report(self, endpoint: str, url: str) -> EndpointReport | None:
-        """Return the engine's report, or none."""
+        """Return the engine's report, or None."""
         return await fetch_report(self._session, endpoint, url)
 
     async def start(self, url: str, attempt: EngineAttempt) -> HttpAnswer:
--- a/src/kestreltally/endpoints/services.py
+++ b/src/kestreltally/endpoints/services.py
@@ -1,4 +1,4 @@
-"""Plain services over HTTP: reports and calls."""
+"""HTTP client of plain services: reports and calls."""
 
 from typing import Final
 
@@ -25,13 +25,13 @@
         self._session = session
 
     async def report(self, endpoint: str, url: str) -> EndpointReport | None:
-        """Return whether the service is there and whether it is leaving."""
+        """Return a report if the service answers; it says whether it is leaving."""
         return await fetch_report(self._session, endpoint, url)
 
     async def call(self, url: str, call: ServiceCall) -> HttpAnswer:
         """Send a request; raises ``EndpointError``.
 
-        A service that did not run it says so by the header ``X-Not-Run``.
+        A service that did not run the request sets the header ``X-Not-Run``.
         """
         headers = {**call.headers, HEADER_ATTEMPT: call.attempt}
         try:
--- a/src/kestreltally/entities/__init__.py
+++ b/src/kestreltally/entities/__init__.py
@@ -1,1 +1,1 @@
-"""Rows of the tables of the product's own way."""
+"""Data types shared by the systems of a daemon."""
--- a/src/kestreltally/entities/configuration.py
+++ b/src/kestreltally/entities/configuration.py
@@ -1,7 +1,7 @@
-"""What operators create: models, adapters, rules, callers and endpoints.
+"""The operators' configuration: models, adapters, rules, callers and endpoints.
 
-Each object is kept in the object API under ``config/<kind>/<name>`` and takes
-effect by the API's revision, which only rises.
+The object API stores each object under ``config/<kind>/<name>``. Changes take effect in
+the order of the API's revision, which only increases.
 """
 
 from dataclasses import dataclass
@@ -22,21 +22,21 @@
 
 
 class Effect(Enum):
-    """What a rule does with the requests that it matches."""
+    """The effect of a rule on the requests that it matches."""
 
     ALLOW = "allow"
     DENY = "deny"
 
 
 class WhenStale(Enum):
-    """What becomes of a request while the revision cannot be confirmed."""
+    """How to treat a request while the configuration revision cannot be confirmed."""
 
     SERVE = "serve"
     REFUSE = "refuse"
 
 
 class EndpointKind(Enum):
-    """The two sorts of endpoints."""
+    """The kinds of endpoints."""
 
     ENGINE = "engine"
     SERVICE = "service"
@@ -64,7 +64,7 @@
 
 @dataclass(frozen=True)
 class Rule:
-    """Which caller may use which adapter; ``*`` stands for any; deny goes first."""
+    """Which caller may use which adapter; ``*`` matches any; deny overrides allow."""
 
     name: Name
     caller: str
@@ -73,13 +73,13 @@
     when_stale: WhenStale = WhenStale.SERVE
 
     def matches(self, caller: str, adapter: str) -> bool:
-        """Tell whether the rule speaks of this caller and adapter."""
+        """Return whether the rule applies to this caller and adapter."""
         return self.caller in (ANY, caller) and self.adapter in (ANY, adapter)
 
 
 @dataclass(frozen=True)
 class Caller:
-    """Who sends requests: digests of the valid keys, and the caller's limits."""
+    """A caller: the digests of its valid keys, and its limits."""
 
     name: Name
     key_digests: Annotated[tuple[str, ...], Meta(max_length=2)] = ()
@@ -92,8 +92,8 @@
 class Endpoint:
     """A model engine or a plain service.
 
-    ``checks_fence`` says whether it refuses orders of an older epoch.
-    ``vm`` is its name in the VM list, where its leaving shows.
+    ``checks_fence`` is set if it refuses orders of an older epoch. ``vm`` is its name
+    in the VM list, which shows when it is leaving.
     """
 
     name: Name
@@ -122,15 +122,15 @@
 
 
 class MalformedObject(ValueError):
-    """An object of the configuration cannot be read; the text names the place."""
+    """A configuration object is malformed; the message names its key and field."""
 
 
 @dataclass(frozen=True)
 class StoredConfig:
-    """The form in which the object API keeps an object: its value, who wrote it.
+    """The form in which the object API stores an object: its value and who wrote it.
 
-    A dropped object keeps its place with no value, so that its revision still
-    tells of the drop. ``at`` is seconds since 1970 by the operator's clock.
+    A deleted object is stored without a value, so that the deletion has a revision.
+    ``at`` is in seconds since 1970 by the operator's clock.
     """
 
     by: str
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True)
 class ConfigObject:
-    """One object with the revision that wrote it; ``value`` is none once dropped."""
+    """An object with the revision that wrote it; ``value`` is None once deleted."""
 
     kind: str
     name: str
@@ -153,14 +153,14 @@
 
 
 def make_config_key(kind: str, name: str) -> str:
-    """Return the key in the object API of one object."""
+    """Return the key of an object in the object API."""
     return f"{CONFIG_PREFIX}{kind}/{name}"
 
 
 def parse_config_object(key: str, value: Any, revision: Revision) -> ConfigObject:
-    """Return the checked object that the object API holds under ``key``.
+    """Return the validated object that the object API stores under ``key``.
 
-    Raises ``MalformedObject``, naming the key and the field.
+    Raises ``MalformedObject``, which names the key and the field.
     """
     kind, _, name = key.removeprefix(CONFIG_PREFIX).partition("/")
     if kind not in KINDS or not name:
@@ -186,7 +186,7 @@
 
 
 def encode_config_object(changed: ConfigObject) -> dict[str, Any]:
-    """Return the plain form in which the object API keeps an object."""
+    """Return the form in which the object API stores an object."""
     value = None if changed.value is None else msgspec.to_builtins(changed.value)
     stored = StoredConfig(
         by=changed.by,
--- a/src/kestreltally/entities/endpoints.py
+++ b/src/kestreltally/entities/endpoints.py
@@ -1,4 +1,4 @@
-"""Endpoints as their leader and the entry daemons see them."""
+"""State of endpoints at their leader and at the entry daemons."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaderRecord:
-    """The object API's record of who leads an endpoint; ``version`` is the API's."""
+    """The leader record of an endpoint; ``version`` is set by the object API."""
 
     endpoint: EndpointId
     leader: VmId
@@ -29,10 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointReport:
-    """What an endpoint said of itself.
+    """An endpoint's report on itself.
 
-    ``composed_at`` is the latest local moment that the report surely covers:
-    the sending of the question less the age that the endpoint states.
+    ``composed_at`` is the latest local time that the report is certain to cover: the
+    time at which the request was sent, minus the age stated by the endpoint.
     """
 
     endpoint: EndpointId
@@ -46,10 +46,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """A leader's offer of its endpoint, good for one version of the record.
+    """A leader's offer to hand over its endpoint, valid for one version of the record.
 
-    ``unloads_allowed_at`` is local monotonic seconds; ``unsure`` names the adapters
-    whose use the former leader could not vouch for.
+    ``unloads_allowed_at`` is in local monotonic seconds. ``unsure`` names the adapters
+    that the former leader cannot confirm to be unused.
     """
 
     version: int
@@ -60,14 +60,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingClaim:
-    """A claim under way."""
+    """A claim of an endpoint whose outcome is not known yet."""
 
     since: Seconds
     expected_version: int
 
 
 class Phase(Enum):
-    """How far a leader has come with an endpoint."""
+    """The phase of a leader's control of an endpoint."""
 
     CLAIMED = "claimed"
     FENCED = "fenced"
@@ -77,10 +77,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Slot:
-    """An adapter version held by an endpoint.
+    """An adapter version loaded on an endpoint.
 
-    ``report_required_after``: while above zero, only a report composed later than it may
-    show that nothing runs; it is set when a holder's word cannot be had.
+    While ``report_required_after`` is above zero, only a report composed later than it
+    can show that nothing runs. It is set when a permit holder cannot confirm this.
     """
 
     adapter: AdapterVersion
@@ -94,12 +94,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LedEndpoint:
-    """A leader's own state of one endpoint.
+    """A leader's state of one endpoint.
 
-    ``changed_at`` is when an order last changed what is loaded: an older report
-    cannot tell what is there now. ``orders_allowed_at`` and ``unloads_allowed_at`` bar orders
-    until earlier leaders' orders and permits have surely run out. All times are
-    local monotonic seconds.
+    ``changed_at`` is when an order last changed the loaded adapters: an older report
+    does not show what is loaded now. ``orders_allowed_at`` and ``unloads_allowed_at``
+    delay orders until orders and permits of earlier leaders have certainly expired.
+    All times are in local monotonic seconds.
     """
 
     endpoint: EndpointId
@@ -124,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointView:
-    """What an entry daemon last heard of an endpoint from its leader."""
+    """The state of an endpoint that an entry daemon last received from its leader."""
 
     endpoint: EndpointId
     loaded: frozenset[AdapterVersion]
@@ -135,7 +135,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Breaker:
-    """The circuit breaker of an entry daemon for one endpoint."""
+    """An entry daemon's circuit breaker for one endpoint."""
 
     failures: int = 0
     open_until: Seconds = 0.0
--- a/src/kestreltally/entities/ids.py
+++ b/src/kestreltally/entities/ids.py
@@ -1,4 +1,4 @@
-"""Names for the identifiers and units that the tables are keyed by."""
+"""Types of identifiers and units."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -21,7 +21,7 @@
 
 
 class Priority(IntEnum):
-    """The classes of work; a smaller number goes first."""
+    """Priority classes; a smaller number is served first."""
 
     INTERACTIVE = 0
     STANDARD = 1
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdapterVersion:
-    """One published version of one adapter; ``SERVICE`` stands for no adapter."""
+    """A published version of an adapter; ``SERVICE`` means no adapter."""
 
     adapter: str
     version: int
@@ -43,11 +43,11 @@
 
 
 class MalformedAdapter(ValueError):
-    """The text does not name an adapter and, after the mark, a whole version."""
+    """The text is not an adapter name, a separator and an integer version."""
 
 
 def parse_adapter_version(text: str) -> AdapterVersion:
-    """Return the adapter version that ``name@3`` names.
+    """Parse an adapter version of the form ``name@3``.
 
     Raises ``MalformedAdapter`` for anything else.
     """
--- a/src/kestreltally/entities/members.py
+++ b/src/kestreltally/entities/members.py
@@ -1,4 +1,4 @@
-"""Daemons as one daemon sees them."""
+"""A daemon's view of the other daemons."""
 
 from dataclasses import dataclass
 from enum import IntEnum
@@ -7,7 +7,7 @@
 
 
 class MemberState(IntEnum):
-    """What is believed of a daemon; of two rumours of one age the larger holds."""
+    """The believed state of a daemon; for rumours of equal age the larger one wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -17,10 +17,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One daemon: where it listens, which run of it, and what is believed of it.
+    """A daemon: its address, its incarnation and its believed state.
 
-    ``incarnation`` rises with each start of the process, ``counter`` each time
-    the daemon itself refutes a rumour. ``changed_at`` is local monotonic seconds.
+    ``incarnation`` increases with each start of the process, ``counter`` each time the
+    daemon itself refutes a rumour. ``changed_at`` is in local monotonic seconds.
     """
 
     vm: VmId
@@ -34,13 +34,13 @@
     acked_at: Seconds = NEVER
 
     def precedence_key(self) -> tuple[int, int, int]:
-        """Return what orders two rumours about one VM."""
+        """Return the sort key of rumours about a VM; the larger one wins."""
         return (self.incarnation, self.counter, int(self.state))
 
 
 @dataclass(frozen=True, slots=True)
 class ListedVm:
-    """One line of the platform's VM list."""
+    """An entry of the platform's VM list."""
 
     vm: VmId
     host: str
--- a/src/kestreltally/entities/permits.py
+++ b/src/kestreltally/entities/permits.py
@@ -1,4 +1,4 @@
-"""Permits, the asks for them, and the requests that wait for one."""
+"""Permits, asks for permits, requests waiting for one, and adapter loads."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -18,7 +18,7 @@
 
 
 class PermitState(Enum):
-    """A permit in its leader's book."""
+    """The state of a permit in its leader's book."""
 
     OPEN = "open"
     RETURNED = "returned"
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantedPermit:
-    """A permit in its leader's book; times are the leader's monotonic seconds."""
+    """A permit in its leader's book; times are in the leader's monotonic seconds."""
 
     permit: PermitId
     endpoint: EndpointId
@@ -40,7 +40,7 @@
     running: int = 0
 
     def count_batch_slots(self) -> int:
-        """Return how many places of the batch the permit takes."""
+        """Return how many batch slots the permit occupies."""
         return self.running if self.state is PermitState.RETURNED else self.count
 
 
@@ -48,8 +48,8 @@
 class HeldPermit:
     """A permit at the entry daemon that may send requests under it.
 
-    ``expires_at`` counts from the sending of the very ask that the leader had
-    seen when it granted, so that a holder always sees the end before the leader.
+    ``expires_at`` counts from the time at which the holder sent the ask that the leader
+    granted, so that the permit always expires at the holder before the leader.
     """
 
     permit: PermitId
@@ -66,7 +66,7 @@
     reported_at: Seconds = NEVER
 
     def has_free_capacity(self, now: Seconds) -> bool:
-        """Tell whether a request may start under the permit."""
+        """Return whether a request may start under the permit."""
         return not self.returned and now < self.expires_at and self.running < self.count
 
 
@@ -74,7 +74,7 @@
 class Waiter:
     """A request at an entry daemon that waits for a permit.
 
-    ``sent_at`` holds when the ask went out, once for each turn.
+    ``sent_at`` holds the time at which the ask was sent, one entry for each turn.
     """
 
     waiter: str
@@ -109,7 +109,7 @@
 
 
 class LoadState(Enum):
-    """How far a load has come."""
+    """The progress of a load."""
 
     WAITING_FOR_BUDGET = "waiting for budget"
     WAITING_FOR_SLOT = "waiting for slot"
@@ -118,7 +118,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """One load of one adapter version on one endpoint; all waiters share it."""
+    """A load of an adapter version on an endpoint, shared by all its waiters."""
 
     load: str
     endpoint: EndpointId
@@ -133,7 +133,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BudgetAsk:
-    """A load that waits at the load-budget leader, or runs under its grant."""
+    """A load that waits for the load budget's leader, or runs under its grant."""
 
     load: str
     holder: VmId
--- a/src/kestreltally/requests/__init__.py
+++ b/src/kestreltally/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Requests of the product's own way, from admission to the end of the answer."""
+"""Serves requests from admission to the end of the answer."""
--- a/src/kestreltally/requests/attempts.py
+++ b/src/kestreltally/requests/attempts.py
@@ -1,4 +1,4 @@
-"""A request on its way, its attempts, and where its answer goes."""
+"""A request being served, its attempts, and the sink that receives its answer."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
@@ -18,25 +18,25 @@
 
 
 class Sink(Protocol):
-    """Where the answer goes."""
+    """Receives the answer to a request."""
 
     async def start(self, head: AnswerHead) -> None:
-        """Tell the caller that an answer comes."""
+        """Start the answer with its status and headers."""
 
     async def send(self, data: bytes) -> None:
-        """Hand bytes of the answer on."""
+        """Pass on bytes of the answer."""
 
     @property
     def is_buffered(self) -> bool:
-        """Tell whether nothing reaches the caller before the end."""
+        """Return whether the caller receives nothing before the answer is complete."""
 
     def discard(self) -> None:
-        """Drop what was held back: the answer starts anew."""
+        """Discard the buffered bytes, because the answer restarts."""
 
 
 @dataclass(frozen=True)
 class CallerRequest:
-    """A request as it was received, checked for form and judged by one revision.
+    """A validated request, checked against the rules of one configuration revision.
 
     ``call`` is set for plain services, ``payload`` for engines.
     """
@@ -56,7 +56,7 @@
 
 
 class AttemptEnd(Enum):
-    """How one attempt ended."""
+    """The outcome of one attempt."""
 
     COMPLETE = "whole"
     NOT_RUN = "not run"
@@ -65,7 +65,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The end of one attempt; ``avoid_endpoint`` asks to avoid the endpoint."""
+    """The result of one attempt.
+
+    ``avoid_endpoint`` excludes the endpoint from later attempts of the request.
+    """
 
     end: AttemptEnd
     fault: str = ""
@@ -75,7 +78,11 @@
 
 @dataclass
 class RequestProgress:
-    """What has happened to a request so far."""
+    """The progress of a request over all its attempts.
+
+    ``possibly_run_attempts`` counts the attempts that were sent and not confirmed as
+    not run; ``token_ids`` are those already delivered, from which an engine resumes.
+    """
 
     possibly_run_attempts: int = 0
     attempts: int = 0
--- a/src/kestreltally/requests/claims.py
+++ b/src/kestreltally/requests/claims.py
@@ -1,7 +1,7 @@
-"""Claims: a not-repeatable request runs at most once, whatever daemon it reaches.
+"""Claims of request ids: a non-repeatable request runs at most once in all daemons.
 
-Before the first byte leaves, the request's id is claimed by an object that only
-one daemon can create. Without the object API such a request is refused.
+Before the request is sent, a daemon claims its id by creating an object that only one
+daemon can create. While the object API is unavailable, such requests are refused.
 """
 
 import asyncio
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class ClaimValue:
-    """The plain form of a claim; ``at`` is seconds since 1970."""
+    """The stored form of a claim; ``at`` is in seconds since 1970."""
 
     caller: str
     request: str
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A claim that this daemon holds."""
+    """A claim held by this daemon."""
 
     key: str
     value: ClaimValue
@@ -56,7 +56,7 @@
 
 
 def make_claim_key(caller: str, request: RequestId) -> str:
-    """Return the key of the claim of one request id of one caller."""
+    """Return the object key for the claim of a caller's request id."""
     return CLAIM_PREFIX + xxh3_128_hexdigest(f"{caller}\0{request}".encode())
 
 
@@ -83,13 +83,13 @@
         Refusal(
             reason=RefusalReason.DUPLICATE,
             outcome=Outcome.UNKNOWN,
-            message="this request id was used before; that request may have run",
+            message="the request id was already used; the earlier request may have run",
         )
     )
 
 
 class Claims:
-    """Claims through the object API."""
+    """Claims and releases request ids through the object API."""
 
     def __init__(
         self,
@@ -105,7 +105,7 @@
         request: RequestId,
         claimant: str,
     ) -> Result[Claim, Refusal]:
-        """Claim a request id for ``claimant``, which must be new for each call."""
+        """Claim a request id for ``claimant``, which must be unique to each call."""
         key = make_claim_key(caller, request)
         value = ClaimValue(
             caller=caller,
@@ -125,7 +125,9 @@
         try:
             written = await self._objects.write(key, encoded, expected_version)
         except ObjectApiDown:
-            return _make_unavailable_refusal("the request id cannot be claimed now")
+            return _make_unavailable_refusal(
+                "the object API is unavailable; the request id cannot be claimed"
+            )
         except AnswerLost:
             return await self._resolve_lost_answer(key, value)
         if isinstance(written, Ok):
@@ -139,7 +141,7 @@
         value: ClaimValue,
         conflict: Conflict,
     ) -> Result[Claim, Refusal]:
-        """Take over a released claim; refuse in the face of any other."""
+        """Take over a released claim; refuse if another claimant holds it."""
         current = conflict.current
         if current.version == 0:
             return await self._write(key, value, expected_version=0)
@@ -153,10 +155,10 @@
     async def _resolve_lost_answer(
         self, key: str, value: ClaimValue
     ) -> Result[Claim, Refusal]:
-        """Find out by reading whether a write with a lost answer took effect.
+        """Read back whether a write took effect whose answer was lost.
 
-        A write that has not arrived yet may still do so: then nobody can claim
-        the id any more, which is safe.
+        The write may still be applied after the read. The id then stays claimed and
+        cannot be claimed again, which is safe.
         """
         for _ in range(READ_BACK_ATTEMPTS):
             try:
@@ -171,13 +173,13 @@
                 return _make_duplicate_refusal()
             break
         return _make_unavailable_refusal(
-            "whether the request id is claimed is not known"
+            "the request id may or may not be claimed: the answer was lost"
         )
 
     async def release(self, claim: Claim) -> None:
-        """Give a claim back for a request that surely did not run.
+        """Release the claim of a request that definitely did not run.
 
-        Where that fails the id stays claimed, which is safe.
+        If that fails, the id stays claimed, which is safe.
         """
         encoded: Any = msgspec.to_builtins(replace(claim.value, released=True))
         try:
@@ -186,10 +188,10 @@
                 RELEASE_TIMEOUT,
             )
         except (PlatformError, TimeoutError) as error:
-            LOG.warning("claims: %s stays claimed: %s", claim.value.request, error)
+            LOG.warning("claims: cannot release %s: %s", claim.value.request, error)
 
     async def sweep(self, retention: Seconds) -> int:
-        """Delete the claims older than ``retention``; return how many."""
+        """Delete claims older than ``retention`` seconds; return their number."""
         listing = await self._objects.list(CLAIM_PREFIX)
         deleted = 0
         for stored in listing.objects:
--- a/src/kestreltally/requests/flow.py
+++ b/src/kestreltally/requests/flow.py
@@ -1,4 +1,4 @@
-"""The way of one request: admitted, permitted, sent, relayed, answered."""
+"""Serves one request: admission, permit, attempts, relaying of the answer."""
 
 import asyncio
 from dataclasses import replace
@@ -100,10 +100,10 @@
         self.live: dict[RequestId, RequestRecord] = {}
         self.is_accepting = True
 
-    # The whole way
+    # Admission, claim, deadline and retries
 
     async def serve(self, request: CallerRequest, sink: Sink) -> Result[None, Refusal]:
-        """Serve a request; return none, or why there is no whole answer."""
+        """Serve a request; return None, or why the answer is not complete."""
         refused = self._admit(request)
         if refused is not None:
             return Err(refused)
@@ -111,7 +111,7 @@
         try:
             result = await self._serve_claimed(request, sink, progress)
         except BaseException:
-            self._close(request, Step.FAIL, "the caller is gone")
+            self._close(request, Step.FAIL, "the caller disconnected")
             raise
         finally:
             self._limits.release(request.caller)
@@ -119,10 +119,12 @@
         return result
 
     def _admit(self, request: CallerRequest) -> Refusal | None:
-        """Count a request in, or return why it is refused before anything is done."""
+        """Admit a request and count it, or return why it is refused."""
         if request.request in self.live:
             return self._make_refusal(
-                RefusalReason.DUPLICATE, Outcome.UNKNOWN, "in progress"
+                RefusalReason.DUPLICATE,
+                Outcome.UNKNOWN,
+                "a request with this id is in progress",
             )
         refusal = self._check_daemon_load(request)
         if refusal is not None:
@@ -133,7 +135,7 @@
             return self._make_refusal(
                 RefusalReason.CALLER_LIMIT,
                 Outcome.NOT_RUN,
-                f"caller {request.caller.name} is over its limit",
+                f"caller {request.caller.name} exceeds its rate or concurrency limit",
                 wait,
             )
         self._retry_budget.record_request()
@@ -167,7 +169,7 @@
         return self._make_refusal(
             RefusalReason.DAEMON_LIMIT,
             Outcome.NOT_RUN,
-            "this daemon is full for requests of this priority",
+            "this daemon has reached its limit for requests of this priority",
             RETRY_AFTER,
         )
 
@@ -210,7 +212,7 @@
             refusal = self._make_refusal(
                 RefusalReason.CLAIMS_UNAVAILABLE,
                 Outcome.NOT_RUN,
-                "the request id could not be claimed in time",
+                "the request id could not be claimed before the deadline",
                 RETRY_AFTER,
             )
             return Err(refusal)
@@ -228,7 +230,7 @@
             refusal = self._make_refusal(
                 RefusalReason.DEADLINE,
                 self._get_outcome(progress),
-                "the deadline is over",
+                "the deadline has passed",
                 RETRY_AFTER,
             )
             return Err(refusal)
@@ -245,7 +247,7 @@
                 refusal = self._make_refusal(
                     answer.reason,
                     self._get_outcome(progress),
-                    "no endpoint could take the request",
+                    "no endpoint accepted the request",
                     answer.retry_after,
                 )
                 return Err(refusal)
@@ -279,13 +281,13 @@
         result: AttemptResult,
         sink: Sink,
     ) -> Refusal | None:
-        """Return why a failed attempt ends the request, or none to try again."""
+        """Return why a failed attempt ends the request, or None if it is retried."""
         if result.end is AttemptEnd.LOST:
             if not request.repeatable:
                 return self._make_refusal(
                     RefusalReason.ENDPOINT_FAILED,
                     Outcome.UNKNOWN,
-                    f"{result.fault}; not repeatable, so it is not tried again",
+                    f"{result.fault}; not retried, as the request is not repeatable",
                 )
             if (
                 progress.answer_started
@@ -295,21 +297,21 @@
                 return self._make_refusal(
                     RefusalReason.CUT_OFF,
                     Outcome.UNKNOWN,
-                    f"{result.fault}; the answer had begun",
+                    f"{result.fault}; the answer had already started",
                 )
         limits = self._runtime.world.settings.limits
         if progress.attempts >= limits.attempts:
             return self._make_refusal(
                 RefusalReason.ENDPOINT_FAILED,
                 self._get_outcome(progress),
-                f"{result.fault} at attempt {progress.attempts}",
+                f"{result.fault} in attempt {progress.attempts}",
                 max(result.retry_after, RETRY_AFTER),
             )
         if not self._retry_budget.acquire(self._runtime.clock()):
             return self._make_refusal(
                 RefusalReason.OVERLOADED,
                 self._get_outcome(progress),
-                f"{result.fault}; the retry budget is spent",
+                f"{result.fault}; the retry budget is exhausted",
                 RETRY_AFTER,
             )
         return None
@@ -323,7 +325,7 @@
         sink: Sink,
         progress: RequestProgress,
     ) -> AttemptResult:
-        """Try once under a permit, and give its place back in every case."""
+        """Make one attempt under a permit; its batch slot is always released."""
         progress.attempts += 1
         identity = self._runtime.world.identity
         attempt = AttemptId(
@@ -442,7 +444,7 @@
         world = self._runtime.world
         spec = world.config.endpoints.get(permit.endpoint)
         if spec is None:
-            raise NotStarted("the endpoint was dropped")
+            raise NotStarted("the endpoint was removed from the configuration")
         if request.call is not None:
             call = replace(request.call, attempt=attempt)
             return await self._runtime.ports.services.call(spec.url, call)
@@ -469,7 +471,10 @@
             return await self._relay_service(request, answer, attempt, sink, progress)
         head = answer.head
         if head.attempt != attempt or head.adapter != str(request.adapter):
-            raise AdapterMismatch(f"{head.adapter} for {head.attempt}")
+            raise AdapterMismatch(
+                f"answer for adapter {head.adapter} and attempt {head.attempt},"
+                f" expected {request.adapter} and {attempt}"
+            )
         relay = Relay(request.adapter)
         try:
             await self._relay_events(request, answer, relay, sink, progress)
@@ -507,7 +512,7 @@
                     await sink.send(events)
                 timeout.reschedule(loop.time() + limits.between_tokens)
         if not relay.ended:
-            raise AttemptLost("the stream ended without its end mark")
+            raise AttemptLost("the stream ended before its [DONE] event")
 
     async def _start_answer(
         self,
@@ -531,10 +536,10 @@
         await sink.start(head)
 
     def _plan_resume(self, relay: Relay, sink: Sink, progress: RequestProgress) -> None:
-        """Keep what was delivered, so that another engine can go on from there.
+        """Record the delivered tokens, so that another engine can continue after them.
 
-        Continuing from token ids follows "Inference in production, part 3"; our
-        own measurement is in docs/MEASUREMENTS.md.
+        Resuming from token ids follows "Inference in production, part 3"; its effect
+        is measured in docs/MEASUREMENTS.md.
         """
         if not relay.delivered:
             return
@@ -556,7 +561,9 @@
         progress: RequestProgress,
     ) -> AttemptResult:
         if answer.head.attempt != attempt:
-            raise AttemptLost("the answer is to another attempt")
+            raise AttemptLost(
+                f"answer for attempt {answer.head.attempt}, expected {attempt}"
+            )
         limits = self._runtime.world.settings.limits
         loop = asyncio.get_running_loop()
         progress.cannot_resume = True
@@ -567,7 +574,7 @@
                 timeout.reschedule(loop.time() + limits.idle)
         return AttemptResult(AttemptEnd.COMPLETE)
 
-    # Outcomes and the table of live requests
+    # Outcomes and states of live requests
 
     def _make_refusal(
         self,
--- a/src/kestreltally/requests/limits.py
+++ b/src/kestreltally/requests/limits.py
@@ -1,4 +1,4 @@
-"""What one caller, and the daemon as a whole, may take; and the retry budget."""
+"""Rate and concurrency limits of callers, and the retry budget of a daemon."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -13,7 +13,7 @@
 
 @dataclass
 class TokenBucket:
-    """So many a second, and so many at once."""
+    """A token bucket: ``rate`` tokens per second, at most ``burst`` at once."""
 
     rate: float
     burst: float
@@ -21,7 +21,7 @@
     filled_at: Seconds
 
     def acquire(self, now: Seconds) -> bool:
-        """Take one if there is one."""
+        """Take one token; return whether one was available."""
         self.level = min(self.burst, self.level + (now - self.filled_at) * self.rate)
         self.filled_at = now
         if self.level < 1.0:
@@ -30,17 +30,17 @@
         return True
 
     def add(self, amount: float) -> None:
-        """Add to what may be taken."""
+        """Add tokens, up to the burst size."""
         self.level = min(self.burst, self.level + amount)
 
     def compute_wait(self) -> Seconds:
-        """Return in how many seconds there will be one."""
+        """Return the seconds until a token is available."""
         return max(0.0, (1.0 - self.level) / self.rate)
 
 
 @dataclass
 class CallerUsage:
-    """What one caller takes now."""
+    """The current usage of one caller."""
 
     bucket: TokenBucket
     running: int = 0
@@ -49,8 +49,8 @@
 class CallerLimits:
     """The limits of callers at one daemon.
 
-    A caller's rate is shared evenly by the daemons, since the balancer spreads
-    its requests; the concurrency is bounded at each daemon.
+    Each daemon allows an equal share of a caller's rate, since the load balancer
+    spreads its requests evenly. The concurrency limit applies per daemon.
     """
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
     def acquire(
         self, caller: Caller, daemon_count: int, now: Seconds
     ) -> Seconds | None:
-        """Count a request in; return none, or after how long to come back."""
+        """Count a started request; return None, or the wait if it is over a limit."""
         rate = caller.requests_per_second / max(1, daemon_count)
         burst = max(1.0, rate)
         usage = self._usage.get(caller.name)
@@ -76,7 +76,7 @@
         return None
 
     def release(self, caller: Caller) -> None:
-        """Count a request out."""
+        """Count an ended request."""
         usage = self._usage.get(caller.name)
         if usage is not None:
             usage.running = max(0, usage.running - 1)
@@ -89,7 +89,7 @@
 
 
 class RetryBudget:
-    """Retries are a share of the traffic, so that they cannot multiply an overload."""
+    """Limits retries to a fraction of requests, so that they cannot amplify load."""
 
     def __init__(self, fraction: float, now: Seconds) -> None:
         self._fraction = fraction
@@ -98,9 +98,9 @@
         )
 
     def record_request(self) -> None:
-        """Earn a share of a retry by a request."""
+        """Add the fraction of a retry that one request allows."""
         self._bucket.add(self._fraction)
 
     def acquire(self, now: Seconds) -> bool:
-        """Take one retry if there is one."""
+        """Take one retry; return whether the budget allows it."""
         return self._bucket.acquire(now)
--- a/src/kestreltally/requests/outcomes.py
+++ b/src/kestreltally/requests/outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller is told: done, surely not run, or unknown."""
+"""Outcomes reported to callers, and the HTTP status of each refusal."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -9,7 +9,7 @@
 
 
 class Outcome(Enum):
-    """Whether a request ran."""
+    """Whether a request ran: completely, definitely not, or possibly."""
 
     DONE = "done"
     NOT_RUN = "not_run"
@@ -38,7 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why a request got no whole answer; ``retry_after`` zero means: don't."""
+    """Why a request got no complete answer.
+
+    ``retry_after`` is in seconds; zero means that the caller should not retry.
+    """
 
     reason: RefusalReason
     outcome: Outcome
--- a/src/kestreltally/requests/relay.py
+++ b/src/kestreltally/requests/relay.py
@@ -1,7 +1,7 @@
-"""Follow one streamed answer: whole events only, rightly named, to its end mark.
+"""Parser of one streamed answer: passes on complete events of the right adapter.
 
-Server-sent events as in the WHATWG HTML standard, with the model servers' usual
-``data: [DONE]`` as the end mark. No input or output here.
+The answer consists of server-sent events (WHATWG HTML standard), and ends with
+``data: [DONE]``, as is usual for model servers. This module does no I/O.
 """
 
 from typing import Final
@@ -18,11 +18,11 @@
 
 
 class AdapterMismatch(AttemptLost):
-    """An event names another adapter or version than the one asked for."""
+    """An event names another adapter or version than the requested one."""
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """One choice of an event, of either of the two usual forms."""
+    """One choice of an event, in completion or chat form."""
 
     text: str = ""
     token_ids: list[int] = []
@@ -38,7 +38,7 @@
 
 
 def parse_events(data: bytes) -> list[AnswerEvent]:
-    """Return the events in whole bytes; raises ``AttemptLost`` if unreadable."""
+    """Return the events in ``data``; raises ``AttemptLost`` if one is malformed."""
     events = []
     for part in data.split(EVENT_END):
         if not part.startswith(DATA_PREFIX) or part.startswith(END_MARK):
@@ -48,12 +48,12 @@
                 msgspec.json.decode(part[len(DATA_PREFIX) :], type=AnswerEvent)
             )
         except msgspec.MsgspecError as error:
-            raise AttemptLost(f"an event cannot be read: {error}") from error
+            raise AttemptLost(f"malformed event: {error}") from error
     return events
 
 
 class Relay:
-    """The state of one answer under way."""
+    """The state of one answer that is being received."""
 
     def __init__(self, adapter: AdapterVersion) -> None:
         self._name = str(adapter)
@@ -64,14 +64,14 @@
         self.ended = False
 
     def feed(self, data: bytes) -> bytes:
-        """Return the whole events in ``data``, without the end mark.
+        """Return the events completed by ``data``, without the end mark.
 
-        Raises ``AdapterMismatch`` before any byte of a wrong event is returned, and
-        ``AttemptLost`` for anything after the end mark.
+        Raises ``AdapterMismatch`` before any byte of a mismatched event is returned,
+        and ``AttemptLost`` for any data after the end mark.
         """
         if self.ended:
             if data.strip():
-                raise AttemptLost("bytes came after the end mark")
+                raise AttemptLost("data received after the [DONE] event")
             return b""
         data = self._partial_event + data if self._partial_event else data
         end = data.rfind(EVENT_END)
@@ -90,17 +90,23 @@
         if at < 0:
             return events
         if events[at + len(END_MARK) :].strip() or self._partial_event.strip():
-            raise AttemptLost("bytes came after the end mark")
+            raise AttemptLost("data received after the [DONE] event")
         self.ended = True
         return events[:at]
 
     def _check_adapter(self, events: bytes) -> None:
-        """Check each event's adapter: by counting, and by reading where that fails."""
+        """Check the adapter of each event.
+
+        Counting the expected model fields is enough for the usual JSON spacing; the
+        events are only parsed if the count differs.
+        """
         if events.count(self._model_field) == events.count(EVENT_END):
             return
         for event in parse_events(events):
             if event.model != self._name:
-                raise AdapterMismatch(f"{event.model} answered for {self._name}")
+                raise AdapterMismatch(
+                    f"event from {event.model}, expected {self._name}"
+                )
 
     def _buffer(self, events: bytes) -> None:
         self._delivered_bytes += len(events)
@@ -109,11 +115,11 @@
 
     @property
     def delivered(self) -> bool:
-        """Tell whether any event was handed on."""
+        """Return whether any event has been passed on."""
         return self._delivered_bytes > 0
 
     def list_token_ids(self) -> tuple[int, ...] | None:
-        """Return the token ids handed on; none where they cannot be told."""
+        """Return the token ids passed on, or None if they are not known."""
         if self._delivered_bytes > MAX_BUFFERED_BYTES:
             return None
         ids: list[int] = []
--- a/src/kestreltally/requests/states.py
+++ b/src/kestreltally/requests/states.py
@@ -1,4 +1,4 @@
-"""The states of a request and the steps that are allowed between them."""
+"""The stages of a request and the steps allowed between them."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -17,7 +17,7 @@
 
 
 class Stage(Enum):
-    """Where a request is."""
+    """The stage of a request."""
 
     RECEIVED = "received"
     WAITING = "waiting"
@@ -29,7 +29,7 @@
 
 
 class Step(Enum):
-    """What moves a request on."""
+    """A step from one stage to another."""
 
     ADMIT = "admit"
     SEND = "send"
@@ -68,8 +68,9 @@
 )
 FINAL_STAGES: Final = frozenset({Stage.DONE, Stage.REFUSED, Stage.FAILED})
 
-# The machine checks the steps at the start; requests look them up in a table,
-# for a model attached for each request costs more than the rest of its way.
+# The state machine validates the transitions on import. Requests use a look-up table:
+# attaching a model to the machine for each request costs more than the rest of serving
+# it.
 NEXT_STAGES: Final = {
     (Stage[each.source], Step(name)): Stage[str(each.dest)]
     for name, event in STATE_MACHINE.events.items()
@@ -79,12 +80,12 @@
 
 
 class InvalidStep(RuntimeError):
-    """A request was to take a step that its stage does not allow."""
+    """The stage of the request does not allow the step."""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestRecord:
-    """One request as the table of live requests shows it."""
+    """One request in the table of live requests."""
 
     request: RequestId
     caller: str
@@ -102,5 +103,5 @@
     """Return the stage after a step; raises ``InvalidStep``."""
     found = NEXT_STAGES.get((stage, step))
     if found is None:
-        raise InvalidStep(f"{step.value} from {stage.value}")
+        raise InvalidStep(f"step {step.value} is not allowed in stage {stage.value}")
     return found
--- a/tests/test_callers.py
+++ b/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers may send, and the error that each mistake gets."""
+"""Parsing of callers' requests, and the error for each malformed one."""
 
 import json
 from typing import Any
--- a/tests/test_http_clients.py
+++ b/tests/test_http_clients.py
@@ -1,4 +1,4 @@
-"""The clients over true sockets: nothing is sent twice behind our back."""
+"""The HTTP clients over real sockets: no request is silently sent twice."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -31,7 +31,7 @@
 
 @asynccontextmanager
 async def serve_and_disconnect(requests: list[bytes]) -> AsyncIterator[str]:
-    """Take each request in, and close the connection instead of answering."""
+    """Read each request, and close the connection instead of answering."""
 
     async def read_and_disconnect(
         reader: asyncio.StreamReader, writer: asyncio.StreamWriter
@@ -96,7 +96,7 @@
 
 
 class DuplicatingView(StoreView):
-    """An object API that every write reaches twice."""
+    """An object API that receives every write twice."""
 
     async def write(
         self, key: str, value: Any, expected_version: int | None
@@ -106,7 +106,7 @@
 
 
 async def test_conflict_with_own_claim_counts_as_held() -> None:
-    """A write may reach the object API twice: the second conflicts with the first."""
+    """A write may arrive twice; the second then conflicts with the first."""
     store = FakeStore(Faults(), Random(1))
     claims = Claims(DuplicatingView(store, "vm-0", Gate()), lambda: 0.0)
     claimed = await claims.claim("till", RequestId("r"), "vm-0/1")
--- a/tests/test_relay.py
+++ b/tests/test_relay.py
@@ -1,4 +1,4 @@
-"""The relay hands on whole, rightly named events, and knows its end."""
+"""The relay passes on complete events of the right adapter, up to the end mark."""
 
 import pytest
 
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -1,4 +1,4 @@
-"""An answer that broke off is continued elsewhere; beside it, a restart."""
+"""An interrupted answer is resumed on another engine, compared with a restart."""
 
 from unittest.mock import patch
 
@@ -9,7 +9,7 @@
 
 
 async def interrupt_answer(stream: bool) -> tuple[Fleet, Sent]:
-    """Restart every engine but one in the middle of an answer."""
+    """Kill the running request in the middle of an answer."""
     fleet = Fleet(unchecked=0)
     await fleet.start()
     await fleet.settle(4.0)
@@ -26,7 +26,7 @@
 
 
 async def warm_up(fleet: Fleet) -> None:
-    """Have two engines hold the adapter, so that no load is in the way."""
+    """Load the adapter on three engines, so that retries wait for no load."""
     for name in ("engine-0", "engine-1", "engine-2"):
         fleet.endpoints[name].loaded.add("a0@1")
     await fleet.settle(1.5)
