--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -288,7 +288,7 @@
 
 
 def test_a_pace_is_the_mean_rate() -> None:
-    pace = RateMeter(time=0.5, at=0.0, started_at=0.0)
+    pace = RateMeter(time_constant=0.5, at=0.0, started_at=0.0)
     for step in range(1, 200):
         pace.add(10.0, step * 0.01)
     assert pace.read(2.0) == pytest.approx(1_000.0, rel=0.05)
