--- a/src/kestreltally/entry/request.py
+++ b/src/kestreltally/entry/request.py
@@ -105,9 +105,9 @@
     @property
     def first_event_deadline(self) -> Seconds:
         """Return the time by which the client must receive something."""
-        if not self.route.client_wait_limit:
+        if not self.route.silence_limit:
             return self.deadline
-        return min(self.deadline, self.arrived_at + self.route.client_wait_limit)
+        return min(self.deadline, self.arrived_at + self.route.silence_limit)
 
     @property
     def service_name(self) -> ServiceName:
--- a/src/kestreltally/fleet/model.py
+++ b/src/kestreltally/fleet/model.py
@@ -36,7 +36,7 @@
     ``priority`` 0 is the most urgent. ``objective`` is the target time to the first
     event of a stream, or to the complete answer. ``attempts`` limits how many endpoints
     may run one request. Clients abandon a stream that sends nothing for
-    ``client_wait_limit``, also before its first event; 0 means that no such limit is
+    ``silence_limit``, also before its first event; 0 means that no such limit is
     known. Requests of a ``public`` route need no key.
     """
 
@@ -50,7 +50,7 @@
     attempts: int
     priority: int
     resumable: bool
-    client_wait_limit: Seconds = 0.0
+    silence_limit: Seconds = 0.0
     public: bool = False
 
     @property
--- a/src/kestreltally/platform/documents.py
+++ b/src/kestreltally/platform/documents.py
@@ -106,7 +106,7 @@
         attempts=int(route.get("Attempts", 1)),
         priority=int(route.get("Priority", 5)),
         resumable=bool(route.get("Resumable", False)),
-        client_wait_limit=(
+        silence_limit=(
             max(
                 MIN_SILENCE_LIMIT,
                 SILENCE_LIMIT_OBJECTIVES * objective,
--- a/tests/entryrig.py
+++ b/tests/entryrig.py
@@ -139,7 +139,7 @@
     timeout: float = 2.0,
     resumable: bool = False,
     objective: float = 0.2,
-    client_wait_limit: float = 0.0,
+    silence_limit: float = 0.0,
 ) -> Route:
     return Route(
         name=prefix,
@@ -152,7 +152,7 @@
         attempts=attempts,
         priority=2,
         resumable=resumable,
-        client_wait_limit=client_wait_limit,
+        silence_limit=silence_limit,
     )
 
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -27,7 +27,7 @@
     service=MODELS,
     objective=OBJECTIVE,
     timeout=TIMEOUT,
-    client_wait_limit=PATIENCE,
+    silence_limit=PATIENCE,
 )
 
 
@@ -81,11 +81,11 @@
 
 def test_client_patience_is_decoded_from_the_route() -> None:
     route = decode_configuration(CONFIGURATION).routes[0]
-    assert route.client_wait_limit == pytest.approx(2.4)
+    assert route.silence_limit == pytest.approx(2.4)
     with_pauses = {
         **CONFIGURATION,
         "Routes": [{**CONFIGURATION["Routes"][0], "GapTargetMs": 400}],  # type: ignore[dict-item]
     }
-    assert decode_configuration(with_pauses).routes[
-        0
-    ].client_wait_limit == pytest.approx(3.2)
+    assert decode_configuration(with_pauses).routes[0].silence_limit == pytest.approx(
+        3.2
+    )
