--- a/src/kestreltally/cli/main.py
+++ b/src/kestreltally/cli/main.py
@@ -27,16 +27,16 @@
 from kestreltally.objectapi.http import open_session
 from kestreltally.objectapi.objects import HttpObjectApi
 from kestreltally.operators.reading import Reader, UnknownField
-from kestreltally.operators.statements import BadStatement, parse_statements
+from kestreltally.operators.statements import InvalidStatement, parse_statements
 from kestreltally.operators.writing import Writer
 from kestreltally.ports import PlatformError
 from kestreltally.timeline.merge import export_trace
 
-ENVIRONMENT: Final = "KESTRELTALLY"
+ENVIRONMENT_PREFIX: Final = "KESTRELTALLY"
 DEFAULT_SETTINGS: Final = "kestreltally.yaml"
 OBJECT_API_TIMEOUT: Final = 2.0
 # Commands that only read files.
-WITHOUT_SETTINGS: Final = frozenset({"logs"})
+COMMANDS_WITHOUT_SETTINGS: Final = frozenset({"logs"})
 T = TypeVar("T")
 
 
@@ -89,7 +89,7 @@
     """Run statements; print what they give; return the exit status."""
     try:
         return _run(_with_session(options, text, dry_run))
-    except BadStatement as error:
+    except InvalidStatement as error:
         click.echo(str(error), err=True)
         return EXIT_INVALID
     except (CommandFailed, UnknownField) as error:
@@ -104,7 +104,7 @@
     return asyncio.run(work)
 
 
-@click.group(context_settings={"auto_envvar_prefix": ENVIRONMENT})
+@click.group(context_settings={"auto_envvar_prefix": ENVIRONMENT_PREFIX})
 @click.option(
     "--settings",
     "path",
@@ -140,7 +140,10 @@
     operator, 4 the platform is not available, 5 outcome not known, 6 not in
     force everywhere in time.
     """
-    if context.resilient_parsing or context.invoked_subcommand in WITHOUT_SETTINGS:
+    if (
+        context.resilient_parsing
+        or context.invoked_subcommand in COMMANDS_WITHOUT_SETTINGS
+    ):
         return
     context.obj = Options(
         settings=load_operator_settings(path),
--- a/src/kestreltally/cli/output.py
+++ b/src/kestreltally/cli/output.py
@@ -6,7 +6,7 @@
 import click
 
 
-def _show(value: Any) -> str:
+def _format_value(value: Any) -> str:
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, list | tuple):
@@ -19,7 +19,7 @@
     if not rows:
         return ["(none)"]
     names = list(dict.fromkeys(name for row in rows for name in row))
-    cells = [[_show(row.get(name)) for name in names] for row in rows]
+    cells = [[_format_value(row.get(name)) for name in names] for row in rows]
     widths = [
         max(len(name), *(len(line[column]) for line in cells))
         for column, name in enumerate(names)
--- a/src/kestreltally/cli/session.py
+++ b/src/kestreltally/cli/session.py
@@ -16,7 +16,7 @@
     ShowTimeline,
     Statement,
 )
-from kestreltally.operators.writing import Change, ChangeFailure, ChangeMade, Writer
+from kestreltally.operators.writing import AppliedChange, Change, ChangeFailure, Writer
 from kestreltally.timeline.events import MATCHED_FIELDS
 from kestreltally.timeline.explain import explain_request
 from kestreltally.timeline.merge import format_event, merge_events
@@ -26,14 +26,14 @@
 EXIT_UNAVAILABLE: Final = 4
 EXIT_UNKNOWN: Final = 5
 EXIT_LAGGING: Final = 6
-STATUS_OF_FAILURE: Final = {
+EXIT_STATUSES: Final = {
     ChangeFailure.INVALID: EXIT_INVALID,
     ChangeFailure.CONFLICT: EXIT_CONFLICT,
     ChangeFailure.UNAVAILABLE: EXIT_UNAVAILABLE,
     ChangeFailure.UNKNOWN: EXIT_UNKNOWN,
 }
-POLL: Final = 0.1
-PROGRESS_EVERY: Final = 10
+POLL_INTERVAL: Final = 0.1
+PROGRESS_INTERVAL: Final = 10
 
 
 class CommandFailed(Exception):
@@ -65,11 +65,11 @@
         """Run statements in their order; stop at the first that fails."""
         revision = 0
         for number, statement in enumerate(statements, start=1):
-            if len(statements) > PROGRESS_EVERY and number % PROGRESS_EVERY == 0:
+            if len(statements) > PROGRESS_INTERVAL and number % PROGRESS_INTERVAL == 0:
                 click.echo(f"{number} of {len(statements)} statements", err=True)
             revision = max(revision, await self._run_one(statement, dry_run))
         if revision and self._wait and not dry_run:
-            return await self._wait_in_force(revision)
+            return await self._wait_until_applied(revision)
         return 0
 
     async def _run_one(self, statement: Statement, dry_run: bool) -> int:
@@ -90,21 +90,26 @@
         result = await self._writer.make(change, dry_run)
         if isinstance(result, Err):
             refused = result.err_value
-            raise CommandFailed(refused.message, STATUS_OF_FAILURE[refused.failure])
-        made = result.ok_value
+            raise CommandFailed(refused.message, EXIT_STATUSES[refused.failure])
+        applied = result.ok_value
         if dry_run:
-            self._print_difference(made)
+            self._print_difference(applied)
             return 0
-        row = {"changed": f"{made.kind} {made.name}", "revision": made.revision}
+        row = {
+            "changed": f"{applied.kind} {applied.name}",
+            "revision": applied.revision,
+        }
         print_rows([row], self._output)
-        return made.revision
+        return applied.revision
 
-    def _print_difference(self, made: ChangeMade) -> None:
-        before = msgspec.to_builtins(made.before) if made.before is not None else {}
-        after = msgspec.to_builtins(made.after) if made.after is not None else {}
+    def _print_difference(self, applied: AppliedChange) -> None:
+        before = (
+            msgspec.to_builtins(applied.before) if applied.before is not None else {}
+        )
+        after = msgspec.to_builtins(applied.after) if applied.after is not None else {}
         rows = [
             {
-                "object": f"{made.kind} {made.name}",
+                "object": f"{applied.kind} {applied.name}",
                 "field": name,
                 "before": before.get(name, "-"),
                 "after": after.get(name, "-"),
@@ -129,17 +134,17 @@
         if show.table in CONFIG_TABLES:
             rows = await self._reader.list_config(CONFIG_TABLES[show.table])
         else:
-            rows, silent = await self._reader.list_live(show.table)
-            self._tell_silent(silent)
+            rows, unanswered = await self._reader.list_live(show.table)
+            self._print_unanswered(unanswered)
         print_rows(select_rows(rows, show), self._output)
 
-    def _tell_silent(self, silent: list[str]) -> None:
-        for url in silent:
+    def _print_unanswered(self, unanswered: list[str]) -> None:
+        for url in unanswered:
             click.echo(f"no answer from {url}: its rows are missing", err=True)
 
     async def _explain(self, explain: Explain) -> None:
-        events, silent = await self._reader.fetch_events({})
-        self._tell_silent(silent)
+        events, unanswered = await self._reader.fetch_events({})
+        self._print_unanswered(unanswered)
         sentences = explain_request(events, explain.request)
         if self._output == "json":
             print_rows([{"sentence": each} for each in sentences], self._output)
@@ -155,8 +160,8 @@
                 text = f"timeline takes 'FIELD = VALUE' with FIELD of: {known}"
                 raise CommandFailed(text, EXIT_INVALID)
             query[condition.field] = str(condition.value)
-        events, silent = await self._reader.fetch_events(query)
-        self._tell_silent(silent)
+        events, unanswered = await self._reader.fetch_events(query)
+        self._print_unanswered(unanswered)
         merged = merge_events(events)
         shown = merged[-timeline.limit :] if timeline.limit else merged
         if self._output == "json":
@@ -166,19 +171,19 @@
         for event in shown:
             click.echo(format_event(event))
 
-    async def _wait_in_force(self, revision: int) -> int:
+    async def _wait_until_applied(self, revision: int) -> int:
         """Wait until a revision is in force everywhere, and name those that lag."""
         count = len(self._reader.daemons)
         loop = asyncio.get_running_loop()
-        limit = loop.time() + self._wait
+        deadline = loop.time() + self._wait
         while True:
             lagging = await self._reader.list_lagging(revision)
             if not lagging:
                 click.echo(f"in force on {count} of {count} at revision {revision}")
                 return 0
-            if loop.time() >= limit:
+            if loop.time() >= deadline:
                 break
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_INTERVAL)
         click.echo(
             f"in force on {count - len(lagging)} of {count} at revision {revision}; "
             f"not on: {', '.join(lagging)}",
--- a/src/kestreltally/daemon.py
+++ b/src/kestreltally/daemon.py
@@ -24,7 +24,7 @@
 from kestreltally.objectapi.http import open_session
 from kestreltally.objectapi.objects import HttpObjectApi
 from kestreltally.objectapi.vms import HttpVmList
-from kestreltally.operators.surface import OperatorSurface
+from kestreltally.operators.api import OperatorApi
 from kestreltally.orders import StopRequested
 from kestreltally.peers.transport import PeerServer, ThriftTransport
 from kestreltally.policies.registry import UnknownPolicy, require_policy
@@ -103,7 +103,7 @@
         self._requests = RequestServer(self._runtime, self._claims)
         metrics = Metrics()
         callers = CallerApi(self._runtime, self._requests, metrics)
-        self._operators = OperatorSurface(self._runtime, self._requests, metrics)
+        self._operators = OperatorApi(self._runtime, self._requests, metrics)
         self._callers_runner = web.AppRunner(
             callers.make_app(),
             handler_cancellation=True,
--- a/src/kestreltally/objectapi/objects.py
+++ b/src/kestreltally/objectapi/objects.py
@@ -18,9 +18,9 @@
 
 STATUS_CONFLICT: Final = 409
 STATUS_TOO_MANY: Final = 429
-STATUS_DOWN: Final = 503
-REFUSED: Final = frozenset({STATUS_TOO_MANY, STATUS_DOWN})
-WATCH_GRACE: Final[Seconds] = 2.0
+STATUS_UNAVAILABLE: Final = 503
+REFUSED_STATUSES: Final = frozenset({STATUS_TOO_MANY, STATUS_UNAVAILABLE})
+WATCH_TIMEOUT_MARGIN: Final[Seconds] = 2.0
 JSON_HEADERS: Final = {"Content-Type": "application/json"}
 
 
@@ -57,7 +57,7 @@
             raise ObjectApiDown(f"object API: no connection: {error}") from error
         except (ClientError, TimeoutError) as error:
             raise AnswerLost(f"object API: no answer: {error!r}") from error
-        if status in REFUSED:
+        if status in REFUSED_STATUSES:
             raise ObjectApiDown(f"object API: refused with status {status}")
         try:
             return status, msgspec.json.decode(raw)
@@ -103,6 +103,6 @@
             "GET",
             "/watch",
             query,
-            timeout=wait + WATCH_GRACE,
+            timeout=wait + WATCH_TIMEOUT_MARGIN,
         )
         return msgspec.convert(plain, Listing)
--- a/src/kestreltally/objectapi/watches.py
+++ b/src/kestreltally/objectapi/watches.py
@@ -38,10 +38,10 @@
 from kestreltally.world import World
 
 LOG = logging.getLogger("kestreltally.objectapi")
-RETRY_FIRST: Final[Seconds] = 0.2
+INITIAL_RETRY_DELAY: Final[Seconds] = 0.2
 MAX_RETRY_DELAY: Final[Seconds] = 5.0
 READ_BACK_TRIES: Final = 5
-WATCH_DUTY_CHECK: Final[Seconds] = 0.5
+WATCHER_CHECK_INTERVAL: Final[Seconds] = 0.5
 WATCH_CONFIRM_WAIT: Final[Seconds] = 1.0
 
 
@@ -119,54 +119,56 @@
             try:
                 return await self._objects.read(key)
             except PlatformError:
-                await asyncio.sleep(RETRY_FIRST)
+                await asyncio.sleep(INITIAL_RETRY_DELAY)
         return None
 
     def _jitter(self, wait: Seconds) -> Seconds:
         return wait * self._world.random.uniform(0.5, 1.5)
 
-    async def _back_off(self, what: str, error: Exception, wait: Seconds) -> Seconds:
+    async def _back_off(
+        self, resource: str, error: Exception, wait: Seconds
+    ) -> Seconds:
         """Wait after a failed call, with jitter; return how long to wait next."""
-        LOG.warning("platform: %s cannot be watched: %s", what, error)
+        LOG.warning("platform: %s cannot be watched: %s", resource, error)
         await asyncio.sleep(self._jitter(wait))
         return min(wait * 2, MAX_RETRY_DELAY)
 
     async def watch_config(self) -> None:
         """Keep the configuration up to date while that is this daemon's duty."""
-        wait = RETRY_FIRST
-        listed = 0
+        wait = INITIAL_RETRY_DELAY
+        listed_revision = 0
         while True:
-            if listed and not is_watcher(self._world):
-                await asyncio.sleep(WATCH_DUTY_CHECK)
+            if listed_revision and not is_watcher(self._world):
+                await asyncio.sleep(WATCHER_CHECK_INTERVAL)
                 continue
             try:
-                listed = await self._read_config(listed)
-                wait = RETRY_FIRST
+                listed_revision = await self._read_config(listed_revision)
+                wait = INITIAL_RETRY_DELAY
             except PlatformError as error:
                 wait = await self._back_off("configuration", error, wait)
 
-    async def _read_config(self, listed: int) -> int:
+    async def _read_config(self, listed_revision: int) -> int:
         """List or watch once; return the object API's revision reached."""
         asked_at = self._clock()
-        first = listed == 0
-        if first:
+        initial = listed_revision == 0
+        if initial:
             listing = await self._objects.list(CONFIG_PREFIX)
         else:
             listing = await self._objects.watch(
                 CONFIG_PREFIX,
-                listed,
+                listed_revision,
                 WATCH_CONFIRM_WAIT,
             )
         # A watch that ends with nothing speaks for its end, not for its beginning.
-        quiet = not first and not listing.objects
-        confirmed_at = asked_at + WATCH_CONFIRM_WAIT if quiet else asked_at
+        timed_out = not initial and not listing.objects
+        confirmed_at = asked_at + WATCH_CONFIRM_WAIT if timed_out else asked_at
         revisions = [each.revision for each in listing.objects]
         known = self._world.config.revision
         self._post(
             ConfigArrived(
-                after=0 if first else min(known, listed),
+                after=0 if initial else min(known, listed_revision),
                 revision=max([*revisions, known]),
-                whole=first,
+                whole=initial,
                 objects=read_config_objects(listing.objects),
                 confirmed_at=min(confirmed_at, self._clock()),
             )
@@ -175,23 +177,23 @@
 
     async def watch_leaders(self) -> None:
         """Keep the leader records up to date."""
-        wait = RETRY_FIRST
-        seen = 0
+        wait = INITIAL_RETRY_DELAY
+        seen_revision = 0
         while True:
             try:
-                seen = await self._read_leaders(seen)
-                wait = RETRY_FIRST
+                seen_revision = await self._read_leaders(seen_revision)
+                wait = INITIAL_RETRY_DELAY
             except PlatformError as error:
                 wait = await self._back_off("leaders", error, wait)
 
-    async def _read_leaders(self, seen: int) -> int:
-        if seen == 0:
+    async def _read_leaders(self, seen_revision: int) -> int:
+        if seen_revision == 0:
             listing = await self._objects.list(LEADER_PREFIX)
         else:
             platform = self._world.settings.platform
             listing = await self._objects.watch(
                 LEADER_PREFIX,
-                seen,
+                seen_revision,
                 platform.watch_wait,
             )
         records = [read_leader_record(each) for each in listing.objects]
--- a/src/kestreltally/operators/surface.py
+++ b/src/kestreltally/operators/api.py
@@ -21,7 +21,7 @@
 ROW_LISTERS: Final[dict[str, RowLister]] = {}
 
 
-def lists_rows(kind: str) -> Callable[[RowLister], RowLister]:
+def row_lister(kind: str) -> Callable[[RowLister], RowLister]:
     """Register what lists the rows of a live table under its name."""
 
     def register(lister: RowLister) -> RowLister:
@@ -31,7 +31,7 @@
     return register
 
 
-@lists_rows("members")
+@row_lister("members")
 def list_members(world: World) -> list[Row]:
     """List the daemons known here."""
     return [
@@ -46,8 +46,8 @@
     ]
 
 
-@lists_rows("leaders")
-def list_led(world: World) -> list[Row]:
+@row_lister("leaders")
+def list_led_endpoints(world: World) -> list[Row]:
     """List the endpoints led here."""
     return [
         {
@@ -64,7 +64,7 @@
     ]
 
 
-@lists_rows("slots")
+@row_lister("slots")
 def list_slots(world: World) -> list[Row]:
     """List the adapters held by the endpoints led here."""
     return [
@@ -79,7 +79,7 @@
     ]
 
 
-@lists_rows("queues")
+@row_lister("queues")
 def list_asks(world: World) -> list[Row]:
     """List the asks that wait at the endpoints led here."""
     return [
@@ -94,7 +94,7 @@
     ]
 
 
-@lists_rows("permits")
+@row_lister("permits")
 def list_permits(world: World) -> list[Row]:
     """List the permits granted here."""
     return [
@@ -111,7 +111,7 @@
     ]
 
 
-@lists_rows("loads")
+@row_lister("loads")
 def list_loads(world: World) -> list[Row]:
     """List the loads planned or under way here."""
     return [
@@ -125,7 +125,7 @@
     ]
 
 
-@lists_rows("breakers")
+@row_lister("breakers")
 def list_breakers(world: World) -> list[Row]:
     """List the circuit breakers that have counted failures here."""
     return [
@@ -138,7 +138,7 @@
     ]
 
 
-@lists_rows("daemons")
+@row_lister("daemons")
 def list_daemon(world: World) -> list[Row]:
     """List this daemon: its revision and how it stands."""
     return [
@@ -157,7 +157,7 @@
     ]
 
 
-class OperatorSurface:
+class OperatorApi:
     """The handlers of the operators' side of one daemon."""
 
     def __init__(
@@ -174,18 +174,18 @@
     def make_app(self) -> web.Application:
         """Return the application with its routes."""
         app = web.Application()
-        app.router.add_get("/live", self.tell_live)
-        app.router.add_get("/ready", self.tell_ready)
+        app.router.add_get("/live", self.show_liveness)
+        app.router.add_get("/ready", self.show_readiness)
         app.router.add_get("/metrics", self.show_metrics)
         app.router.add_get("/state/{kind}", self.show_state)
         app.router.add_get("/timeline", self.show_timeline)
         return app
 
-    async def tell_live(self, http: web.Request) -> web.Response:
+    async def show_liveness(self, http: web.Request) -> web.Response:
         """Answer that the process runs its loop."""
         return web.json_response({"live": True})
 
-    async def tell_ready(self, http: web.Request) -> web.Response:
+    async def show_readiness(self, http: web.Request) -> web.Response:
         """Tell the balancer whether to send requests here."""
         has_config = self._runtime.world.config.revision > 0
         ready = self.ready and has_config
@@ -229,10 +229,10 @@
 
     async def show_timeline(self, http: web.Request) -> web.Response:
         """Show the kept events that pass the filter in the query."""
-        wanted = EventFilter(
+        event_filter = EventFilter(
             **{name: http.query.get(name, "") for name in MATCHED_FIELDS}
         )
-        events = self._runtime.world.events.select(wanted)
+        events = self._runtime.world.events.select(event_filter)
         return web.Response(
             body=msgspec.json.encode({"events": events}),
             content_type="application/json",
--- a/src/kestreltally/operators/reading.py
+++ b/src/kestreltally/operators/reading.py
@@ -32,38 +32,38 @@
     """A condition or an order names a field that the rows do not have."""
 
 
-def _compare(row: Row, condition: Condition) -> bool:
+def _matches(row: Row, condition: Condition) -> bool:
     if condition.field not in row:
         known = ", ".join(row)
         raise UnknownField(f"no field {condition.field!r}; there are: {known}")
-    found, wanted = row[condition.field], condition.value
+    actual, expected = row[condition.field], condition.value
     if condition.operator == "~":
-        return str(wanted).lower() in str(found).lower()
-    if isinstance(found, str) or isinstance(wanted, str):
-        found, wanted = str(found), str(wanted)
-    if isinstance(found, list | tuple):
-        found, wanted = list(found), list(wanted)
+        return str(expected).lower() in str(actual).lower()
+    if isinstance(actual, str) or isinstance(expected, str):
+        actual, expected = str(actual), str(expected)
+    if isinstance(actual, list | tuple):
+        actual, expected = list(actual), list(expected)
     return bool(
         {
-            "=": lambda: found == wanted,
-            "!=": lambda: found != wanted,
-            "<": lambda: found < wanted,
-            "<=": lambda: found <= wanted,
-            ">": lambda: found > wanted,
-            ">=": lambda: found >= wanted,
+            "=": lambda: actual == expected,
+            "!=": lambda: actual != expected,
+            "<": lambda: actual < expected,
+            "<=": lambda: actual <= expected,
+            ">": lambda: actual > expected,
+            ">=": lambda: actual >= expected,
         }[condition.operator]()
     )
 
 
 def select_rows(rows: list[Row], show: Show) -> list[Row]:
     """Return the rows that a ``show`` asks for; raises ``UnknownField``."""
-    found = [row for row in rows if all(_compare(row, c) for c in show.conditions)]
+    matching = [row for row in rows if all(_matches(row, c) for c in show.conditions)]
     if show.order_by:
-        if found and show.order_by not in found[0]:
-            known = ", ".join(found[0])
+        if matching and show.order_by not in matching[0]:
+            known = ", ".join(matching[0])
             raise UnknownField(f"no field {show.order_by!r}; there are: {known}")
-        found.sort(key=lambda row: row[show.order_by], reverse=show.descending)
-    return found[: show.limit] if show.limit else found
+        matching.sort(key=lambda row: row[show.order_by], reverse=show.descending)
+    return matching[: show.limit] if show.limit else matching
 
 
 class Reader:
@@ -116,12 +116,12 @@
         """Return the rows of a live table of all daemons, and who did not answer."""
         answers = await self._get_all(f"/state/{table}", {})
         rows = [row for answer in answers if answer for row in answer["rows"]]
-        silent = [
+        unanswered = [
             url
             for url, answer in zip(self.daemons, answers, strict=True)
             if answer is None
         ]
-        return rows, silent
+        return rows, unanswered
 
     async def fetch_events(
         self, query: dict[str, str]
@@ -134,12 +134,12 @@
             if answer
             for event in read_events(answer["events"])
         ]
-        silent = [
+        unanswered = [
             url
             for url, answer in zip(self.daemons, answers, strict=True)
             if answer is None
         ]
-        return events, silent
+        return events, unanswered
 
     async def list_lagging(self, revision: int) -> list[str]:
         """Return the daemons at which a revision is not yet in force."""
--- a/src/kestreltally/operators/statements.py
+++ b/src/kestreltally/operators/statements.py
@@ -10,8 +10,8 @@
 
 GRAMMAR_PATH: Final = Path(__file__).with_name("language.lark")
 PARSER: Final = Lark(GRAMMAR_PATH.read_text(encoding="utf-8"), parser="lalr")
-MOST_EXPECTED: Final = 8
-WORD_OF_TERMINAL: Final = {
+MAX_EXPECTED_SHOWN: Final = 8
+TERMINAL_DESCRIPTIONS: Final = {
     "KIND": "a kind (model, adapter, rule, caller, endpoint)",
     "TABLE": "a table (adapters, endpoints, slots, requests, ...)",
     "TARGET": "endpoint or vm",
@@ -80,7 +80,7 @@
 )
 
 
-class BadStatement(ValueError):
+class InvalidStatement(ValueError):
     """The text is not a statement; the message points at the column."""
 
 
@@ -225,16 +225,16 @@
     def list(self, *values: Any) -> "tuple[Any, ...]":
         return tuple(each for each in values if each is not None)
 
-    def value(self, found: Any) -> Any:
-        if not isinstance(found, Token):
-            return found
-        if found.type == "BOOLEAN":
-            return found.lower() == "true"
-        if found.type == "NUMBER":
-            return int(found)
-        if found.type == "FLOAT":
-            return float(found)
-        return str(found).strip("\"'")
+    def value(self, raw: Any) -> Any:
+        if not isinstance(raw, Token):
+            return raw
+        if raw.type == "BOOLEAN":
+            return raw.lower() == "true"
+        if raw.type == "NUMBER":
+            return int(raw)
+        if raw.type == "FLOAT":
+            return float(raw)
+        return str(raw).strip("\"'")
 
     def setting(self, field: Token, value: Any) -> Setting:
         return Setting(field=str(field), value=value)
@@ -320,10 +320,12 @@
 
 
 def _list_expected(error: UnexpectedInput) -> list[str]:
-    found = getattr(error, "accepts", None) or getattr(error, "expected", None)
-    found = found or getattr(error, "allowed", None) or set()
-    words = [WORD_OF_TERMINAL.get(each, each.lower()) for each in sorted(found)]
-    return list(dict.fromkeys(words))
+    terminals = getattr(error, "accepts", None) or getattr(error, "expected", None)
+    terminals = terminals or getattr(error, "allowed", None) or set()
+    descriptions = [
+        TERMINAL_DESCRIPTIONS.get(each, each.lower()) for each in sorted(terminals)
+    ]
+    return list(dict.fromkeys(descriptions))
 
 
 def _describe_error(text: str, error: UnexpectedInput) -> str:
@@ -331,19 +333,23 @@
     line = max(1, error.line) if error.line > 0 else text.count("\n") + 1
     source = text.split("\n")[line - 1] if text else ""
     at_end = isinstance(error, UnexpectedEOF) or _is_end(error)
-    found = "" if at_end else source[column - 1 :].split(maxsplit=1)[:1]
-    word = found[0] if found else ""
+    following = "" if at_end else source[column - 1 :].split(maxsplit=1)[:1]
+    token_text = following[0] if following else ""
     if at_end:
         column = len(source) + 1
     expected = _list_expected(error)
-    shown = ", ".join(expected[:MOST_EXPECTED])
-    more = ", ..." if len(expected) > MOST_EXPECTED else ""
-    close = get_close_matches(word.lower(), KEYWORDS, n=1) if word else []
-    hint = f"; did you mean {close[0]!r}?" if close and close[0] != word.lower() else ""
-    what = f"{word!r} is not understood" if word else "more is expected"
+    shown = ", ".join(expected[:MAX_EXPECTED_SHOWN])
+    more = ", ..." if len(expected) > MAX_EXPECTED_SHOWN else ""
+    matches = get_close_matches(token_text.lower(), KEYWORDS, n=1) if token_text else []
+    hint = (
+        f"; did you mean {matches[0]!r}?"
+        if matches and matches[0] != token_text.lower()
+        else ""
+    )
+    problem = f"{token_text!r} is not understood" if token_text else "more is expected"
     pointer = " " * (column - 1) + "^"
     return (
-        f"line {line}, column {column}: {what}; expected {shown}{more}{hint}\n"
+        f"line {line}, column {column}: {problem}; expected {shown}{more}{hint}\n"
         f"  {source}\n  {pointer}"
     )
 
@@ -353,10 +359,10 @@
 
 
 def parse_statements(text: str) -> tuple[Statement, ...]:
-    """Return the statements in ``text``; raises ``BadStatement``."""
+    """Return the statements in ``text``; raises ``InvalidStatement``."""
     try:
         return _Builder().transform(PARSER.parse(text))
     except UnexpectedInput as error:
-        raise BadStatement(_describe_error(text, error)) from error
+        raise InvalidStatement(_describe_error(text, error)) from error
     except VisitError as error:
-        raise BadStatement(str(error.orig_exc)) from error
+        raise InvalidStatement(str(error.orig_exc)) from error
--- a/src/kestreltally/operators/writing.py
+++ b/src/kestreltally/operators/writing.py
@@ -71,7 +71,7 @@
 
 
 @dataclass(frozen=True)
-class ChangeMade:
+class AppliedChange:
     """A change that was accepted at a revision; ``before`` and ``after`` are shown."""
 
     kind: str
@@ -95,8 +95,8 @@
     known = [each.name for each in fields(of_type)]
     for setting in settings:
         if setting.field not in known or setting.field == "name":
-            close = get_close_matches(setting.field, known, n=1)
-            hint = f"; did you mean {close[0]!r}?" if close else ""
+            matches = get_close_matches(setting.field, known, n=1)
+            hint = f"; did you mean {matches[0]!r}?" if matches else ""
             allowed = ", ".join(name for name in known if name != "name")
             raise InvalidChange(
                 f"{kind} has no field {setting.field!r}; there are: {allowed}{hint}"
@@ -135,7 +135,7 @@
 
 def compute_value(change: Change, before: ConfigValue | None) -> ConfigValue | None:
     """Return what a change makes of an object; raises ``InvalidChange``."""
-    kind, name = find_object_of(change)
+    kind, name = get_changed_object(change)
     if isinstance(change, Create):
         if before is not None:
             raise InvalidChange(f"{kind} {name!r} exists already")
@@ -163,7 +163,7 @@
     return replace(value, pinned_to=change.endpoints)
 
 
-def find_object_of(change: Change) -> tuple[str, str]:
+def get_changed_object(change: Change) -> tuple[str, str]:
     """Return kind and name of the object that a change touches."""
     if isinstance(change, Create | Alter | Drop):
         return change.kind, change.name
@@ -181,19 +181,19 @@
         self,
         objects: ObjectApi,
         operator: str,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self._objects = objects
         self._operator = operator
-        self._wall_clock = wall
+        self._wall_clock = wall_clock
 
     async def make(
         self,
         change: Change,
         dry_run: bool = False,
-    ) -> Result[ChangeMade, ChangeRefused]:
+    ) -> Result[AppliedChange, ChangeRefused]:
         """Make a change, or only work it out."""
-        kind, name = find_object_of(change)
+        kind, name = get_changed_object(change)
         key = make_config_key(kind, name)
         try:
             stored = await self._objects.read(key)
@@ -204,7 +204,7 @@
             after = compute_value(change, before.value if before else None)
         except InvalidChange as error:
             return self._refuse(ChangeFailure.INVALID, str(error))
-        made = ChangeMade(
+        applied = AppliedChange(
             kind=kind,
             name=name,
             revision=stored.version,
@@ -212,8 +212,8 @@
             after=after,
         )
         if dry_run:
-            return Ok(made)
-        return await self._write(key, made, stored.version)
+            return Ok(applied)
+        return await self._write(key, applied, stored.version)
 
     def _read(self, key: str, stored: StoredObject) -> ConfigObject | None:
         if stored.version == 0:
@@ -226,63 +226,63 @@
     async def _write(
         self,
         key: str,
-        made: ChangeMade,
+        applied: AppliedChange,
         version: int,
-    ) -> Result[ChangeMade, ChangeRefused]:
-        changed = ConfigObject(
-            kind=made.kind,
-            name=made.name,
+    ) -> Result[AppliedChange, ChangeRefused]:
+        new_object = ConfigObject(
+            kind=applied.kind,
+            name=applied.name,
             revision=0,
-            value=made.after,
+            value=applied.after,
             by=self._operator,
             at=self._wall_clock(),
             change=uuid4().hex,
         )
         try:
-            plain = encode_config_object(changed)
+            plain = encode_config_object(new_object)
             written = await self._objects.write(key, plain, version)
         except ObjectApiDown as error:
             return self._refuse(ChangeFailure.UNAVAILABLE, f"nothing changed: {error}")
         except AnswerLost:
-            return await self._resolve(key, made, changed, version)
+            return await self._resolve(key, applied, new_object, version)
         if isinstance(written, Ok):
-            return Ok(replace(made, revision=written.ok_value.revision))
-        return self._judge_conflict(key, made, changed, written.err_value.current)
+            return Ok(replace(applied, revision=written.ok_value.revision))
+        return self._check_conflict(key, applied, new_object, written.err_value.current)
 
-    def _judge_conflict(
+    def _check_conflict(
         self,
         key: str,
-        made: ChangeMade,
-        changed: ConfigObject,
+        applied: AppliedChange,
+        new_object: ConfigObject,
         current: StoredObject,
-    ) -> Result[ChangeMade, ChangeRefused]:
+    ) -> Result[AppliedChange, ChangeRefused]:
         """Tell a conflict with the own change, which arrived twice, from another's."""
-        theirs = self._read(key, current)
-        if theirs is not None and theirs.change == changed.change:
-            return Ok(replace(made, revision=current.revision))
-        return self._tell_conflict(key, current)
-
-    def _tell_conflict(self, key: str, current: StoredObject) -> Err[ChangeRefused]:
-        theirs = self._read(key, current)
-        if theirs is None:
+        existing = self._read(key, current)
+        if existing is not None and existing.change == new_object.change:
+            return Ok(replace(applied, revision=current.revision))
+        return self._describe_conflict(key, current)
+
+    def _describe_conflict(self, key: str, current: StoredObject) -> Err[ChangeRefused]:
+        existing = self._read(key, current)
+        if existing is None:
             return self._refuse(
                 ChangeFailure.CONFLICT, f"{key} is gone; nothing changed"
             )
-        ago = max(0.0, self._wall_clock() - theirs.at)
-        shown = "dropped it" if theirs.value is None else f"made it {theirs.value}"
+        age = max(0.0, self._wall_clock() - existing.at)
+        shown = "dropped it" if existing.value is None else f"made it {existing.value}"
         return self._refuse(
             ChangeFailure.CONFLICT,
-            f"nothing changed: {theirs.by} {shown} {ago:.1f} s ago, "
-            f"at revision {theirs.revision}; look and try again",
+            f"nothing changed: {existing.by} {shown} {age:.1f} s ago, "
+            f"at revision {existing.revision}; look and try again",
         )
 
     async def _resolve(
         self,
         key: str,
-        made: ChangeMade,
-        changed: ConfigObject,
+        applied: AppliedChange,
+        new_object: ConfigObject,
         version: int,
-    ) -> Result[ChangeMade, ChangeRefused]:
+    ) -> Result[AppliedChange, ChangeRefused]:
         """Find out by reading whether a change with a lost answer was accepted.
 
         While the old version is still there the write may yet arrive. Writing the
@@ -292,16 +292,16 @@
             try:
                 current = await self._objects.read(key)
                 if current.version != version:
-                    return self._judge_conflict(key, made, changed, current)
-                plain = encode_config_object(changed)
+                    return self._check_conflict(key, applied, new_object, current)
+                plain = encode_config_object(new_object)
                 written = await self._objects.write(key, plain, version)
                 if isinstance(written, Ok):
-                    return Ok(replace(made, revision=written.ok_value.revision))
+                    return Ok(replace(applied, revision=written.ok_value.revision))
             except PlatformError:
                 await asyncio.sleep(READ_BACK_WAIT)
         return self._refuse(
             ChangeFailure.UNKNOWN,
             f"the answer was lost and the object API does not answer: whether "
-            f"{made.kind} {made.name} changed is not known; "
-            f"'show {made.kind}s where name = {made.name}' will tell",
+            f"{applied.kind} {applied.name} changed is not known; "
+            f"'show {applied.kind}s where name = {applied.name}' will tell",
         )
--- a/src/kestreltally/peers/codec.py
+++ b/src/kestreltally/peers/codec.py
@@ -20,16 +20,16 @@
     """A peer's envelope does not hold exactly the fields of its messages."""
 
 
-def _name_field(message_type: type[Any]) -> str:
+def _make_field_name(message_type: type[Any]) -> str:
     return re.sub(r"(?<!^)(?=[A-Z])", "_", message_type.__name__).lower()
 
 
-FIELD_OF_TYPE: Final = {each: _name_field(each) for each in MESSAGE_TYPES}
+FIELD_NAMES: Final = {each: _make_field_name(each) for each in MESSAGE_TYPES}
 
 Converter = Callable[[Any], Any]
 
 
-def _keep(value: Any) -> Any:
+def _identity(value: Any) -> Any:
     return value
 
 
@@ -38,11 +38,11 @@
     """Return what turns a value of ``of_type`` into its thrift form."""
     if get_origin(of_type) is list:
         item_writer = _make_writer(get_args(of_type)[0])
-        if item_writer is _keep:
-            return _keep
+        if item_writer is _identity:
+            return _identity
         return lambda items: [item_writer(item) for item in items]
     if not (isinstance(of_type, type) and is_dataclass(of_type)):
-        return _keep
+        return _identity
     struct = getattr(IDL, of_type.__name__)
     hints = get_type_hints(of_type)
     writers = [(each.name, _make_writer(hints[each.name])) for each in fields(of_type)]
@@ -62,7 +62,7 @@
         item_reader = _make_reader(get_args(of_type)[0])
         return lambda items: [item_reader(item) for item in items or ()]
     if not (isinstance(of_type, type) and is_dataclass(of_type)):
-        return _keep
+        return _identity
     hints = get_type_hints(of_type)
     readers = [(each.name, _make_reader(hints[each.name])) for each in fields(of_type)]
 
@@ -84,7 +84,7 @@
     each: _make_writer(cast(Any, each)) for each in MESSAGE_TYPES
 }
 READERS: Final[dict[str, Converter]] = {
-    FIELD_OF_TYPE[each]: _make_reader(cast(Any, each)) for each in MESSAGE_TYPES
+    FIELD_NAMES[each]: _make_reader(cast(Any, each)) for each in MESSAGE_TYPES
 }
 
 
@@ -94,7 +94,7 @@
     for message in envelope.messages:
         message_type = type(message)
         body = WRITERS[message_type](message)
-        written.append(IDL.Message(**{FIELD_OF_TYPE[message_type]: body}))
+        written.append(IDL.Message(**{FIELD_NAMES[message_type]: body}))
     return IDL.Envelope(
         sender=envelope.sender,
         incarnation=envelope.incarnation,
--- a/src/kestreltally/peers/transport.py
+++ b/src/kestreltally/peers/transport.py
@@ -33,11 +33,11 @@
 BATCH_LIMIT: Final = 256
 CONNECT_TIMEOUT_MS: Final = 500
 CALL_TIMEOUT: Final[Seconds] = 1.0
-IDLE_PIPE_AFTER: Final[Seconds] = 30.0
-RETRY_AFTER: Final[Seconds] = 0.2
+IDLE_TIMEOUT: Final[Seconds] = 30.0
+RETRY_DELAY: Final[Seconds] = 0.2
 
 
-class _Pipe:
+class _PeerConnection:
     """The messages on their way to one peer."""
 
     def __init__(self, host: str, port: int) -> None:
@@ -55,7 +55,7 @@
         """Send until the pipe has been idle for long."""
         while True:
             try:
-                await asyncio.wait_for(self._wake.wait(), IDLE_PIPE_AFTER)
+                await asyncio.wait_for(self._wake.wait(), IDLE_TIMEOUT)
             except TimeoutError:
                 return
             finally:
@@ -80,7 +80,7 @@
         except (OSError, TException, TimeoutError, EOFError) as error:
             LOG.debug("peers: %s:%d did not take: %r", self._host, self._port, error)
             self.close()
-            await asyncio.sleep(RETRY_AFTER)
+            await asyncio.sleep(RETRY_DELAY)
 
     async def _connect(self) -> Any:
         if self._client is None:
@@ -104,27 +104,27 @@
     """Implements the port ``PeerTransport``."""
 
     def __init__(self) -> None:
-        self._pipes: dict[tuple[str, int], _Pipe] = {}
+        self._connections: dict[tuple[str, int], _PeerConnection] = {}
         self._tasks: dict[tuple[str, int], asyncio.Task[None]] = {}
 
     async def send(self, host: str, port: int, envelope: Envelope) -> bool:
         """Queue messages for a peer."""
         address = (host, port)
-        pipe = self._pipes.get(address)
-        if pipe is None:
-            pipe = _Pipe(host, port)
-            self._pipes[address] = pipe
-            task = asyncio.get_running_loop().create_task(pipe.run())
+        connection = self._connections.get(address)
+        if connection is None:
+            connection = _PeerConnection(host, port)
+            self._connections[address] = connection
+            task = asyncio.get_running_loop().create_task(connection.run())
             self._tasks[address] = task
-            task.add_done_callback(lambda _: self._forget(address))
-        pipe.put(envelope)
+            task.add_done_callback(lambda _: self._remove(address))
+        connection.put(envelope)
         return True
 
-    def _forget(self, address: tuple[str, int]) -> None:
+    def _remove(self, address: tuple[str, int]) -> None:
         self._tasks.pop(address, None)
-        pipe = self._pipes.pop(address, None)
-        if pipe is not None:
-            pipe.close()
+        connection = self._connections.pop(address, None)
+        if connection is not None:
+            connection.close()
 
     async def close(self) -> None:
         """Close all pipes."""
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -37,8 +37,10 @@
     protocol = TBinaryProtocolFactory().get_protocol(buffer)
     protocol.write_struct(write_envelope(envelope))
     read: Any = IDL.Envelope()
-    again = TBinaryProtocolFactory().get_protocol(TMemoryBuffer(buffer.getvalue()))
-    again.read_struct(read)
+    second_protocol = TBinaryProtocolFactory().get_protocol(
+        TMemoryBuffer(buffer.getvalue())
+    )
+    second_protocol.read_struct(read)
     return read_envelope(read)
 
 
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -6,11 +6,11 @@
 
 from kestreltally.operators.statements import (
     Alter,
-    BadStatement,
     Condition,
     Create,
     Drain,
     Explain,
+    InvalidStatement,
     Pin,
     Publish,
     RollBack,
@@ -84,8 +84,8 @@
 
 
 @pytest.mark.parametrize("text", BAD)
-def test_error_points_at_its_place(text: str) -> None:
-    with pytest.raises(BadStatement) as caught:
+def test_error_names_its_position(text: str) -> None:
+    with pytest.raises(InvalidStatement) as caught:
         parse_statements(text)
     for part in BAD[text]:
         assert part in str(caught.value)
@@ -93,8 +93,8 @@
 
 @settings(derandomize=True, max_examples=200, deadline=None)
 @given(st.text(max_size=60))
-def test_no_text_does_worse_than_an_error(text: str) -> None:
+def test_any_text_parses_or_raises_invalid_statement(text: str) -> None:
     try:
         parse_statements(text)
-    except BadStatement as error:
+    except InvalidStatement as error:
         assert str(error).startswith("line ")
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -17,9 +17,9 @@
 def make_writers(faults: Faults) -> tuple[FakeStore, Writer, Writer]:
     store = FakeStore(faults, Random(1))
     views = [StoreView(store, name, Gate()) for name in ("a", "b")]
-    wall = asyncio.get_running_loop().time
+    wall_clock = asyncio.get_running_loop().time
     one, other = (
-        Writer(v, n, wall) for v, n in zip(views, ("aida", "bo"), strict=True)
+        Writer(v, n, wall_clock) for v, n in zip(views, ("aida", "bo"), strict=True)
     )
     return store, one, other
 
@@ -29,7 +29,7 @@
     return await writer.make(statement)  # type: ignore[arg-type]
 
 
-async def race() -> list[Any]:
+async def publish_concurrently() -> list[Any]:
     store, one, other = make_writers(Faults())
     await make(one, "create adapter a with model = m")
     return await asyncio.gather(
@@ -37,15 +37,15 @@
     )
 
 
-def test_of_two_operators_one_wins_and_the_other_is_told_who() -> None:
-    results = run_virtual(race())
+def test_concurrent_change_conflicts_and_names_the_other_operator() -> None:
+    results = run_virtual(publish_concurrently())
     assert [isinstance(result, Ok) for result in results] == [True, False]
     refused = results[1].err_value
     assert refused.failure is ChangeFailure.CONFLICT
     assert "aida made it" in refused.message
 
 
-async def lose(times: int) -> tuple[Any, FakeStore]:
+async def create_with_lost_answer(times: int) -> tuple[Any, FakeStore]:
     faults = Faults()
     store, one, _ = make_writers(faults)
     faults.lose_answers = 1.0
@@ -54,7 +54,7 @@
 
 
 def test_a_lost_answer_is_resolved_by_reading() -> None:
-    result, store = run_virtual(lose(1))
+    result, store = run_virtual(create_with_lost_answer(1))
     assert isinstance(result, Ok)
     assert result.ok_value.revision == store.revision == 1
 
@@ -65,7 +65,7 @@
     return await make(one, "create adapter a with model = m"), store
 
 
-def test_an_outage_changes_nothing_and_says_so() -> None:
+def test_outage_changes_nothing_and_is_reported() -> None:
     result, store = run_virtual(write_while_down())
     assert result.err_value.failure is ChangeFailure.UNAVAILABLE
     assert store.objects == {}
