--- a/src/kestreltally/cli/__init__.py
+++ b/src/kestreltally/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""Command line for operators."""
--- a/src/kestreltally/cli/logs.py
+++ b/src/kestreltally/cli/logs.py
@@ -1,4 +1,4 @@
-"""The commands that read the daemons' log files."""
+"""Commands that read the daemons' log files."""
 
 import sys
 from typing import TextIO
@@ -24,17 +24,17 @@
 @click.argument("request")
 @FILES
 def explain(request: str, files: tuple[TextIO, ...]) -> None:
-    """Tell what became of a request, from the lines of all daemons."""
+    """Explain the outcome of a request from the log lines of all daemons."""
     explanation = explain_request(read_lines(files), request)
     if explanation is None:
-        click.echo(f"no line names the request {request}", err=True)
+        click.echo(f"no log line names request {request}", err=True)
         sys.exit(EXIT_NOT_FOUND)
     click.echo(f"request {request}: {explanation.cause}")
     for sentence in explanation.sentences:
         click.echo(f"  {sentence}")
     if explanation.nearby:
         click.echo(
-            "decided by that daemon shortly before, or by any on the same content:"
+            "related decisions (by that daemon shortly before, or on the same content):"
         )
         for line in explanation.nearby:
             click.echo(f"  {line}")
--- a/src/kestreltally/cli/main.py
+++ b/src/kestreltally/cli/main.py
@@ -1,4 +1,4 @@
-"""The operators' command line ``kestreltally``."""
+"""The command ``kestreltally`` for operators."""
 
 import asyncio
 import getpass
@@ -35,14 +35,14 @@
 ENVIRONMENT_PREFIX: Final = "KESTRELTALLY"
 DEFAULT_SETTINGS: Final = "kestreltally.yaml"
 OBJECT_API_TIMEOUT: Final = 2.0
-# Commands that only read files.
+# These commands only read the files given as arguments.
 COMMANDS_WITHOUT_SETTINGS: Final = frozenset({"logs"})
 T = TypeVar("T")
 
 
 @dataclass(frozen=True)
 class OperatorSettings:
-    """The command line's settings: the object API and the daemons' operator sides."""
+    """Settings of the command line: URLs of the object API and the daemons."""
 
     object_api: str
     daemons: tuple[str, ...] = ()
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True)
 class Options:
-    """The options that hold for all commands."""
+    """Options common to all commands."""
 
     settings: OperatorSettings
     operator: str
@@ -59,7 +59,7 @@
 
 
 def load_operator_settings(path: Path) -> OperatorSettings:
-    """Return the settings in a file; raises ``click.ClickException``."""
+    """Load the settings from a file; raises ``click.ClickException``."""
     try:
         plain = yaml.safe_load(path.read_text(encoding="utf-8"))
         return msgspec.convert(plain, OperatorSettings)
@@ -86,7 +86,7 @@
 
 
 def run_statements(options: Options, text: str, dry_run: bool = False) -> int:
-    """Run statements; print what they give; return the exit status."""
+    """Run statements, print their results and return the exit status."""
     try:
         return _run(_with_session(options, text, dry_run))
     except InvalidStatement as error:
@@ -182,7 +182,7 @@
 @main.command("prompt")
 @click.pass_obj
 def prompt_command(options: Options) -> None:
-    """Read statements from a prompt, with a history; an empty end leaves."""
+    """Read statements from a prompt with history; Ctrl-D or Ctrl-C exits."""
     session: PromptSession[str] = PromptSession(history=InMemoryHistory())
     while True:
         try:
@@ -215,7 +215,7 @@
 @click.argument("key")
 @click.pass_obj
 def digest_command(options: Options, key: str) -> None:
-    """Print the digest under which a caller's key is kept."""
+    """Print the digest of a caller's key, as the configuration stores it."""
     print_rows([{"digest": digest_key(key)}], options.output)
 
 
--- a/src/kestreltally/cli/output.py
+++ b/src/kestreltally/cli/output.py
@@ -1,4 +1,4 @@
-"""Print rows as a table or as JSON."""
+"""Output of rows as a table or as JSON."""
 
 import json
 from typing import Any
@@ -15,7 +15,7 @@
 
 
 def format_table(rows: list[dict[str, Any]]) -> list[str]:
-    """Return the lines of a table with a head."""
+    """Return the lines of a table with a header line."""
     if not rows:
         return ["(none)"]
     names = list(dict.fromkeys(name for row in rows for name in row))
@@ -32,7 +32,7 @@
 
 
 def print_rows(rows: list[dict[str, Any]], output: str) -> None:
-    """Print rows in the chosen form."""
+    """Print rows as JSON if ``output`` is ``json``, else as a table."""
     if output == "json":
         click.echo(json.dumps(rows))
         return
--- a/src/kestreltally/cli/session.py
+++ b/src/kestreltally/cli/session.py
@@ -1,4 +1,4 @@
-"""Run statements for one operator and print what they give."""
+"""Runs the statements of one operator and prints their results."""
 
 import asyncio
 from typing import Any, Final
@@ -37,7 +37,7 @@
 
 
 class CommandFailed(Exception):
-    """A statement was not carried out; ``status`` is the exit status."""
+    """A statement failed; ``status`` is the exit status of the command."""
 
     def __init__(self, message: str, status: int) -> None:
         super().__init__(message)
@@ -45,7 +45,7 @@
 
 
 class OperatorSession:
-    """One operator's statements."""
+    """Executes statements on behalf of one operator."""
 
     def __init__(
         self,
@@ -62,7 +62,10 @@
     async def run(
         self, statements: tuple[Statement, ...], dry_run: bool = False
     ) -> int:
-        """Run statements in their order; stop at the first that fails."""
+        """Run statements in order and return the exit status.
+
+        Raises ``CommandFailed`` at the first statement that fails.
+        """
         revision = 0
         for number, statement in enumerate(statements, start=1):
             if len(statements) > PROGRESS_INTERVAL and number % PROGRESS_INTERVAL == 0:
@@ -73,7 +76,7 @@
         return 0
 
     async def _run_one(self, statement: Statement, dry_run: bool) -> int:
-        """Run one statement; return the revision that it made, or 0."""
+        """Run one statement; return the revision of its change, or 0 for none."""
         if isinstance(statement, Show):
             await self._show(statement)
         elif isinstance(statement, Explain):
@@ -140,7 +143,7 @@
 
     def _print_unanswered(self, unanswered: list[str]) -> None:
         for url in unanswered:
-            click.echo(f"no answer from {url}: its rows are missing", err=True)
+            click.echo(f"no response from {url}: its rows are missing", err=True)
 
     async def _explain(self, explain: Explain) -> None:
         events, unanswered = await self._reader.fetch_events({})
@@ -172,7 +175,10 @@
             click.echo(format_event(event))
 
     async def _wait_until_applied(self, revision: int) -> int:
-        """Wait until a revision is in force everywhere, and name those that lag."""
+        """Wait until all daemons have applied a revision.
+
+        On a timeout, prints the daemons that lag and returns ``EXIT_LAGGING``.
+        """
         count = len(self._reader.daemons)
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self._wait
--- a/src/kestreltally/objectapi/__init__.py
+++ b/src/kestreltally/objectapi/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of the object API and the VM list of the product's own way of running."""
+"""Clients of the object API and the VM list for the daemon ``kestreltallyd``."""
--- a/src/kestreltally/objectapi/objects.py
+++ b/src/kestreltally/objectapi/objects.py
@@ -1,4 +1,4 @@
-"""The object API over HTTP."""
+"""HTTP client of the object API."""
 
 from typing import Any, Final
 
@@ -40,7 +40,11 @@
         body: Any = None,
         timeout: Seconds | None = None,
     ) -> tuple[int, Any]:
-        """Return status and JSON; raises ``ObjectApiDown`` or ``AnswerLost``."""
+        """Return the status and the decoded JSON body of a response.
+
+        Raises ``ObjectApiDown`` if the request was not sent or was refused, and
+        ``AnswerLost`` if it may have taken effect.
+        """
         data = None if body is None else msgspec.json.encode(body)
         try:
             async with self._session.request(
@@ -54,18 +58,20 @@
                 raw = await response.read()
                 status = response.status
         except ClientConnectorError as error:
-            raise ObjectApiDown(f"object API: no connection: {error}") from error
+            raise ObjectApiDown(f"object API: connection failed: {error}") from error
         except (ClientError, TimeoutError) as error:
-            raise AnswerLost(f"object API: no answer: {error!r}") from error
+            raise AnswerLost(f"object API: no response: {error!r}") from error
         if status in REFUSED_STATUSES:
             raise ObjectApiDown(f"object API: refused with status {status}")
         try:
             return status, msgspec.json.decode(raw)
         except msgspec.DecodeError as error:
-            raise AnswerLost(f"object API: answer not JSON: {error}") from error
+            raise AnswerLost(
+                f"object API: response is not valid JSON: {error}"
+            ) from error
 
     async def read(self, key: str) -> StoredObject:
-        """Return the object; version 0 when there is none."""
+        """Return the object, with version 0 if it does not exist."""
         _, plain = await self._call("GET", "/object", {"key": key})
         return msgspec.convert(plain, StoredObject)
 
@@ -80,7 +86,11 @@
         value: Any,
         expected_version: int | None,
     ) -> Result[StoredObject, Conflict]:
-        """Write if the version is the expected one (0: none there; none: any)."""
+        """Write an object if its version is the expected one.
+
+        An expected version of 0 means that the object must not exist; None writes
+        unconditionally.
+        """
         query = {"key": key}
         if expected_version is not None:
             query["expected"] = str(expected_version)
@@ -91,13 +101,19 @@
         return Ok(stored)
 
     async def delete(self, key: str, expected_version: int) -> bool:
-        """Delete if the version is the expected one; tell whether it was."""
+        """Delete an object if its version is the expected one.
+
+        Returns False on a version conflict.
+        """
         query = {"key": key, "expected": str(expected_version)}
         status, _ = await self._call("DELETE", "/object", query)
         return status != STATUS_CONFLICT
 
     async def watch(self, prefix: str, after: int, wait: Seconds) -> Listing:
-        """Wait for changes after a revision; return none when ``wait`` is over."""
+        """Wait up to ``wait`` seconds for changes after a revision.
+
+        The listing is empty if nothing changed in that time.
+        """
         query = {"prefix": prefix, "after": str(after), "wait": str(wait)}
         _, plain = await self._call(
             "GET",
--- a/src/kestreltally/objectapi/records.py
+++ b/src/kestreltally/objectapi/records.py
@@ -1,4 +1,4 @@
-"""Objects of the object API as the daemon's own types."""
+"""Conversion of stored objects of the object API to the daemon's types."""
 
 import logging
 from collections.abc import Iterable
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class LeaderValue:
-    """The plain form of a leader record in the object API."""
+    """Stored form of a leader record in the object API."""
 
     leader: str
     incarnation: int
@@ -31,13 +31,16 @@
 
 
 def read_leader_record(stored: StoredObject) -> LeaderRecord | None:
-    """Return the leader record in a stored object, or none if there is none."""
+    """Return the leader record in a stored object.
+
+    Returns None if the object does not exist or is malformed; the latter is logged.
+    """
     if stored.version == 0 or stored.value is None:
         return None
     try:
         value = msgspec.convert(stored.value, LeaderValue)
     except msgspec.ValidationError as error:
-        LOG.error("platform: leader record %s cannot be read: %s", stored.key, error)
+        LOG.error("platform: malformed leader record %s: %s", stored.key, error)
         return None
     return LeaderRecord(
         endpoint=EndpointId(stored.key.removeprefix(LEADER_PREFIX)),
@@ -50,11 +53,11 @@
 
 
 def read_config_objects(stored: Iterable[StoredObject]) -> tuple[ConfigObject, ...]:
-    """Return the readable objects; the others are logged and left as they were."""
+    """Return the well-formed objects; log and skip the others."""
     objects = []
     for each in stored:
         try:
             objects.append(parse_config_object(each.key, each.value, each.revision))
         except MalformedObject as error:
-            LOG.error("platform: configuration left out: %s", error)
+            LOG.error("platform: skipped configuration object: %s", error)
     return tuple(objects)
--- a/src/kestreltally/objectapi/vms.py
+++ b/src/kestreltally/objectapi/vms.py
@@ -1,4 +1,4 @@
-"""The platform's VM list over HTTP."""
+"""HTTP client of the platform's VM list."""
 
 from typing import Final
 
@@ -20,7 +20,7 @@
         self._url = url.rstrip("/")
 
     async def fetch(self) -> tuple[ListedVm, ...]:
-        """Return the list; raises ``PlatformError``."""
+        """Fetch the listed VMs; raises ``PlatformError``."""
         try:
             async with self._session.get(
                 f"{self._url}/vms",
--- a/src/kestreltally/objectapi/watches.py
+++ b/src/kestreltally/objectapi/watches.py
@@ -1,4 +1,4 @@
-"""Reading and watching the platform's services, and claiming leadership there."""
+"""Reads and watches the platform's services, and claims endpoint leadership."""
 
 import asyncio
 import logging
@@ -46,7 +46,7 @@
 
 
 class PlatformWatches:
-    """One daemon's calls to the platform; each result goes into the inbox."""
+    """Calls of one daemon to the platform; results are posted to its inbox."""
 
     def __init__(
         self,
@@ -81,7 +81,10 @@
         )
 
     async def claim_endpoint(self, order: ClaimEndpoint) -> None:
-        """Write a leader record; a lost answer is resolved by reading back."""
+        """Claim an endpoint by writing its leader record.
+
+        If the response is lost, the record is read back to see whose claim won.
+        """
         claimed_at = self._clock()
         record = order.record
         value = LeaderValue(
@@ -114,7 +117,7 @@
         )
 
     async def _read_back(self, key: str) -> StoredObject | None:
-        """Read what a write with a lost answer left; none if it cannot be read."""
+        """Read an object after a write with a lost response; None if that fails."""
         for _ in range(READ_BACK_TRIES):
             try:
                 return await self._objects.read(key)
@@ -128,13 +131,16 @@
     async def _back_off(
         self, resource: str, error: Exception, wait: Seconds
     ) -> Seconds:
-        """Wait after a failed call, with jitter; return how long to wait next."""
-        LOG.warning("platform: %s cannot be watched: %s", resource, error)
+        """Wait with jitter after a failed call; return the next wait, doubled."""
+        LOG.warning("platform: watch of %s failed: %s", resource, error)
         await asyncio.sleep(self._jitter(wait))
         return min(wait * 2, MAX_RETRY_DELAY)
 
     async def watch_config(self) -> None:
-        """Keep the configuration up to date while that is this daemon's duty."""
+        """Watch the configuration while this daemon is the designated watcher.
+
+        The first listing is read in any case.
+        """
         wait = INITIAL_RETRY_DELAY
         listed_revision = 0
         while True:
@@ -148,7 +154,7 @@
                 wait = await self._back_off("configuration", error, wait)
 
     async def _read_config(self, listed_revision: int) -> int:
-        """List or watch once; return the object API's revision reached."""
+        """List or watch once; return the object API's revision that was reached."""
         asked_at = self._clock()
         initial = listed_revision == 0
         if initial:
@@ -159,7 +165,8 @@
                 listed_revision,
                 WATCH_CONFIRM_WAIT,
             )
-        # A watch that ends with nothing speaks for its end, not for its beginning.
+        # A watch that ends without changes confirms the configuration as of the end
+        # of its wait; a response with objects only as of the start of the request.
         timed_out = not initial and not listing.objects
         confirmed_at = asked_at + WATCH_CONFIRM_WAIT if timed_out else asked_at
         revisions = [each.revision for each in listing.objects]
@@ -176,7 +183,7 @@
         return max(listing.revision, 1)
 
     async def watch_leaders(self) -> None:
-        """Keep the leader records up to date."""
+        """Watch the leader records of all endpoints."""
         wait = INITIAL_RETRY_DELAY
         seen_revision = 0
         while True:
@@ -203,11 +210,11 @@
         return max(listing.revision, 1)
 
     async def poll_vm_list(self) -> None:
-        """Read the VM list from time to time."""
+        """Poll the VM list at the configured period, with jitter."""
         while True:
             try:
                 self._post(VmsListed(vms=await self._vms.fetch()))
             except PlatformError as error:
-                LOG.warning("platform: VM list cannot be read: %s", error)
+                LOG.warning("platform: reading the VM list failed: %s", error)
             period = self._world.settings.platform.vm_list_period
             await asyncio.sleep(self._jitter(period))
--- a/src/kestreltally/operators/__init__.py
+++ b/src/kestreltally/operators/__init__.py
@@ -1,1 +1,1 @@
-"""What operators read and change, and their language."""
+"""Operators' statement language, queries and configuration changes."""
--- a/src/kestreltally/operators/api.py
+++ b/src/kestreltally/operators/api.py
@@ -1,4 +1,4 @@
-"""The operators' HTTP surface of a daemon: health, metrics, tables, time line."""
+"""HTTP API of a daemon for operators: health, metrics, live tables, time line."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -22,7 +22,7 @@
 
 
 def row_lister(kind: str) -> Callable[[RowLister], RowLister]:
-    """Register what lists the rows of a live table under its name."""
+    """Register a function as the lister of the live table ``kind``."""
 
     def register(lister: RowLister) -> RowLister:
         ROW_LISTERS[kind] = lister
@@ -33,7 +33,7 @@
 
 @row_lister("members")
 def list_members(world: World) -> list[Row]:
-    """List the daemons known here."""
+    """List the daemons that this daemon knows."""
     return [
         {
             "member": member.vm,
@@ -48,7 +48,7 @@
 
 @row_lister("leaders")
 def list_led_endpoints(world: World) -> list[Row]:
-    """List the endpoints led here."""
+    """List the endpoints that this daemon leads."""
     return [
         {
             "endpoint": led.endpoint,
@@ -66,7 +66,7 @@
 
 @row_lister("slots")
 def list_slots(world: World) -> list[Row]:
-    """List the adapters held by the endpoints led here."""
+    """List the adapters in the slots of the endpoints that this daemon leads."""
     return [
         {
             "endpoint": led.endpoint,
@@ -81,7 +81,7 @@
 
 @row_lister("queues")
 def list_asks(world: World) -> list[Row]:
-    """List the asks that wait at the endpoints led here."""
+    """List the queued asks for permits at the endpoints that this daemon leads."""
     return [
         {
             "endpoint": ask.endpoint,
@@ -96,7 +96,7 @@
 
 @row_lister("permits")
 def list_permits(world: World) -> list[Row]:
-    """List the permits granted here."""
+    """List the permits that this daemon has granted."""
     return [
         {
             "permit": permit.permit,
@@ -113,7 +113,7 @@
 
 @row_lister("loads")
 def list_loads(world: World) -> list[Row]:
-    """List the loads planned or under way here."""
+    """List the adapter loads that this daemon has planned or in flight."""
     return [
         {
             "endpoint": load.endpoint,
@@ -127,7 +127,7 @@
 
 @row_lister("breakers")
 def list_breakers(world: World) -> list[Row]:
-    """List the circuit breakers that have counted failures here."""
+    """List the circuit breakers of this daemon that have recorded failures."""
     return [
         {
             "endpoint": endpoint,
@@ -140,7 +140,7 @@
 
 @row_lister("daemons")
 def list_daemon(world: World) -> list[Row]:
-    """List this daemon: its revision and how it stands."""
+    """List one row: this daemon's revision, role and health."""
     return [
         {
             "data_centre": world.identity.data_centre,
@@ -158,7 +158,7 @@
 
 
 class OperatorApi:
-    """The handlers of the operators' side of one daemon."""
+    """HTTP handlers of one daemon for operators."""
 
     def __init__(
         self,
@@ -172,7 +172,7 @@
         self.ready = True
 
     def make_app(self) -> web.Application:
-        """Return the application with its routes."""
+        """Create the application with its routes."""
         app = web.Application()
         app.router.add_get("/live", self.show_liveness)
         app.router.add_get("/ready", self.show_readiness)
@@ -182,22 +182,25 @@
         return app
 
     async def show_liveness(self, http: web.Request) -> web.Response:
-        """Answer that the process runs its loop."""
+        """Report that the event loop is running."""
         return web.json_response({"live": True})
 
     async def show_readiness(self, http: web.Request) -> web.Response:
-        """Tell the balancer whether to send requests here."""
+        """Report to the load balancer whether this daemon accepts requests.
+
+        The status is 503 before the first configuration and when ``ready`` is False.
+        """
         has_config = self._runtime.world.config.revision > 0
         ready = self.ready and has_config
         return web.json_response({"ready": ready}, status=200 if ready else 503)
 
     async def show_metrics(self, http: web.Request) -> web.Response:
-        """Show the metrics."""
+        """Return the metrics of this daemon in the exposition format."""
         content, headers = self._metrics.render(self._runtime.world)
         return web.Response(body=content, headers=headers)
 
     async def show_state(self, http: web.Request) -> web.Response:
-        """Show the rows of one live table, each with this daemon's name."""
+        """Return the rows of one live table, each with this daemon's VM."""
         kind = http.match_info["kind"]
         world = self._runtime.world
         if kind == "requests":
@@ -206,7 +209,7 @@
             rows = ROW_LISTERS[kind](world)
         else:
             known = ", ".join(sorted([*ROW_LISTERS, "requests"]))
-            text = f"no table {kind!r}; there are: {known}"
+            text = f"no table {kind!r}; known tables: {known}"
             return web.json_response({"error": text}, status=404)
         named = [{"vm": world.identity.vm, **row} for row in rows]
         return web.json_response({"rows": named})
@@ -228,7 +231,7 @@
         ]
 
     async def show_timeline(self, http: web.Request) -> web.Response:
-        """Show the kept events that pass the filter in the query."""
+        """Return the retained events that match the filter in the query string."""
         event_filter = EventFilter(
             **{name: http.query.get(name, "") for name in MATCHED_FIELDS}
         )
--- a/src/kestreltally/operators/reading.py
+++ b/src/kestreltally/operators/reading.py
@@ -1,4 +1,4 @@
-"""What operators read: configuration, live tables, and the merged time line."""
+"""Queries of operators: configuration, live tables and the time line."""
 
 import asyncio
 from typing import Any, Final
@@ -29,13 +29,13 @@
 
 
 class UnknownField(ValueError):
-    """A condition or an order names a field that the rows do not have."""
+    """A condition or a sort order names a field that the rows do not have."""
 
 
 def _matches(row: Row, condition: Condition) -> bool:
     if condition.field not in row:
         known = ", ".join(row)
-        raise UnknownField(f"no field {condition.field!r}; there are: {known}")
+        raise UnknownField(f"no field {condition.field!r}; known fields: {known}")
     actual, expected = row[condition.field], condition.value
     if condition.operator == "~":
         return str(expected).lower() in str(actual).lower()
@@ -56,18 +56,21 @@
 
 
 def select_rows(rows: list[Row], show: Show) -> list[Row]:
-    """Return the rows that a ``show`` asks for; raises ``UnknownField``."""
+    """Filter, sort and limit rows as a ``show`` statement requests.
+
+    Raises ``UnknownField``.
+    """
     matching = [row for row in rows if all(_matches(row, c) for c in show.conditions)]
     if show.order_by:
         if matching and show.order_by not in matching[0]:
             known = ", ".join(matching[0])
-            raise UnknownField(f"no field {show.order_by!r}; there are: {known}")
+            raise UnknownField(f"no field {show.order_by!r}; known fields: {known}")
         matching.sort(key=lambda row: row[show.order_by], reverse=show.descending)
     return matching[: show.limit] if show.limit else matching
 
 
 class Reader:
-    """Reads from the object API and from all daemons at once."""
+    """Reads from the object API and concurrently from all daemons."""
 
     def __init__(
         self,
@@ -80,7 +83,10 @@
         self.daemons = daemons
 
     async def list_config(self, kind: str) -> list[Row]:
-        """Return the objects of one kind, as rows; secrets are left out."""
+        """Return the objects of one kind as rows, without secret fields.
+
+        A malformed object becomes a row with its key and the error.
+        """
         listing = await self._objects.list(f"{CONFIG_PREFIX}{kind}/")
         rows: list[Row] = []
         for stored in sorted(listing.objects, key=lambda each: each.key):
@@ -97,7 +103,10 @@
         return rows
 
     async def _get(self, url: str, path: str, query: dict[str, str]) -> Any:
-        """Return a daemon's JSON, or none when it does not answer."""
+        """Return a daemon's JSON response.
+
+        Returns None if the daemon does not respond, or with a status other than 200.
+        """
         try:
             async with self._session.get(
                 f"{url}{path}",
@@ -113,7 +122,7 @@
         return list(await asyncio.gather(*calls))
 
     async def list_live(self, table: str) -> tuple[list[Row], list[str]]:
-        """Return the rows of a live table of all daemons, and who did not answer."""
+        """Return a table's rows of all daemons, and the URLs without a response."""
         answers = await self._get_all(f"/state/{table}", {})
         rows = [row for answer in answers if answer for row in answer["rows"]]
         unanswered = [
@@ -126,7 +135,7 @@
     async def fetch_events(
         self, query: dict[str, str]
     ) -> tuple[list[Event], list[str]]:
-        """Return the events of all daemons, and who did not answer."""
+        """Return the events of all daemons, and the URLs without a response."""
         answers = await self._get_all("/timeline", query)
         events = [
             event
@@ -142,7 +151,10 @@
         return events, unanswered
 
     async def list_lagging(self, revision: int) -> list[str]:
-        """Return the daemons at which a revision is not yet in force."""
+        """Return the URLs of the daemons that have not applied a revision yet.
+
+        A daemon that does not respond counts as lagging.
+        """
         answers = await self._get_all("/state/daemons", {})
         return [
             url
--- a/src/kestreltally/operators/statements.py
+++ b/src/kestreltally/operators/statements.py
@@ -1,4 +1,4 @@
-"""The statements of the operators' language, typed, and how text becomes them."""
+"""Typed statements of the operators' language, and their parser."""
 
 from dataclasses import dataclass
 from difflib import get_close_matches
@@ -16,7 +16,7 @@
     "TABLE": "a table (adapters, endpoints, slots, requests, ...)",
     "TARGET": "endpoint or vm",
     "NAME": "a name",
-    "STRING": "a quoted text",
+    "STRING": "a quoted string",
     "NUMBER": "a number",
     "FLOAT": "a number",
     "BOOLEAN": "true or false",
@@ -30,7 +30,7 @@
     "URL": "a URL",
     "ANY": "*",
     "DIRECTION": "asc or desc",
-    "$END": "the end",
+    "$END": "end of input",
 }
 KEYWORDS: Final = (
     "create",
@@ -81,12 +81,12 @@
 
 
 class InvalidStatement(ValueError):
-    """The text is not a statement; the message points at the column."""
+    """The text is not a valid statement; the message gives line and column."""
 
 
 @dataclass(frozen=True)
 class Setting:
-    """One field and the value that it is to have."""
+    """A field and the value to set it to."""
 
     field: str
     value: Any
@@ -94,7 +94,7 @@
 
 @dataclass(frozen=True)
 class Condition:
-    """A field compared with a value."""
+    """A comparison of a field with a value."""
 
     field: str
     operator: str
@@ -137,14 +137,14 @@
 
 @dataclass(frozen=True)
 class RollBack:
-    """Make the version before the current one current again."""
+    """Make an adapter's previous version the current one."""
 
     adapter: str
 
 
 @dataclass(frozen=True)
 class SetRule:
-    """Allow or deny a caller the use of an adapter or service."""
+    """Allow or deny a caller the use of an adapter or a service."""
 
     caller: str
     adapter: str
@@ -165,7 +165,7 @@
 
 @dataclass(frozen=True)
 class Drain:
-    """Begin or end the draining of an endpoint, or of all endpoints of a VM."""
+    """Start or stop draining an endpoint, or all endpoints of a VM."""
 
     target: str
     name: str
@@ -174,7 +174,7 @@
 
 @dataclass(frozen=True)
 class Pin:
-    """Keep an adapter loaded at endpoints; none to end that."""
+    """Keep an adapter loaded at endpoints; an empty tuple unpins it."""
 
     adapter: str
     endpoints: tuple[str, ...]
@@ -182,7 +182,7 @@
 
 @dataclass(frozen=True)
 class Explain:
-    """Tell why a request waited, ran or was refused."""
+    """Explain why a request waited, ran or was refused."""
 
     request: str
 
@@ -212,7 +212,7 @@
 
 @v_args(inline=True)
 class _Builder(Transformer[Token, tuple[Statement, ...]]):
-    """Turn the parse tree into statements."""
+    """Transforms the parse tree into statements; each method handles one rule."""
 
     def start(self, *statements: Any) -> tuple[Statement, ...]:
         return tuple(each for each in statements if not isinstance(each, Token))
@@ -346,7 +346,7 @@
         if matches and matches[0] != token_text.lower()
         else ""
     )
-    problem = f"{token_text!r} is not understood" if token_text else "more is expected"
+    problem = f"unexpected {token_text!r}" if token_text else "unexpected end of input"
     pointer = " " * (column - 1) + "^"
     return (
         f"line {line}, column {column}: {problem}; expected {shown}{more}{hint}\n"
--- a/src/kestreltally/operators/writing.py
+++ b/src/kestreltally/operators/writing.py
@@ -1,7 +1,9 @@
-"""Operators' changes: conditional, resolved after lost answers, never lost.
+"""Configuration changes by operators, made with optimistic concurrency control.
 
-Of two operators who change the same object at once one wins, and the other is
-told who changed what.
+A write is conditional on the version that was read. When two operators change the
+same object concurrently, one write succeeds and the other reports a conflict with
+the name of the operator and the change. A write whose response was lost is resolved
+by reading the object back.
 """
 
 import asyncio
@@ -54,7 +56,7 @@
 
 
 class ChangeFailure(Enum):
-    """Why a change was not made."""
+    """Why a change failed."""
 
     CONFLICT = "conflict"
     INVALID = "invalid"
@@ -64,7 +66,7 @@
 
 @dataclass(frozen=True)
 class ChangeRefused:
-    """A change that was not made, or whose outcome cannot be found out yet."""
+    """A change that was not made, or whose outcome is unknown."""
 
     failure: ChangeFailure
     message: str
@@ -72,7 +74,10 @@
 
 @dataclass(frozen=True)
 class AppliedChange:
-    """A change that was accepted at a revision; ``before`` and ``after`` are shown."""
+    """A change accepted at ``revision``, with the values before and after.
+
+    In a dry run ``revision`` is the stored version.
+    """
 
     kind: str
     name: str
@@ -82,7 +87,7 @@
 
 
 class InvalidChange(ValueError):
-    """The change makes no sense; the text says why."""
+    """The change cannot be applied to the object; the message gives the reason."""
 
 
 def _apply_settings(
@@ -90,7 +95,10 @@
     plain: dict[str, Any],
     settings: tuple[Setting, ...],
 ) -> ConfigValue:
-    """Return the checked value with settings applied; raises ``InvalidChange``."""
+    """Apply settings to an object's plain form and validate the result.
+
+    Raises ``InvalidChange``.
+    """
     of_type = KINDS[kind]
     known = [each.name for each in fields(of_type)]
     for setting in settings:
@@ -99,7 +107,7 @@
             hint = f"; did you mean {matches[0]!r}?" if matches else ""
             allowed = ", ".join(name for name in known if name != "name")
             raise InvalidChange(
-                f"{kind} has no field {setting.field!r}; there are: {allowed}{hint}"
+                f"{kind} has no field {setting.field!r}; known fields: {allowed}{hint}"
             )
         value = setting.value
         plain[setting.field] = list(value) if isinstance(value, tuple) else value
@@ -121,7 +129,7 @@
 
 def _publish(adapter: Adapter, version: int) -> Adapter:
     if version < 1:
-        raise InvalidChange("a version is a whole number from 1 up")
+        raise InvalidChange(f"version must be at least 1, got {version}")
     versions = tuple(sorted({*adapter.versions, version}))
     previous = adapter.current if adapter.current != version else adapter.previous
     return replace(adapter, versions=versions, current=version, previous=previous)
@@ -134,11 +142,14 @@
 
 
 def compute_value(change: Change, before: ConfigValue | None) -> ConfigValue | None:
-    """Return what a change makes of an object; raises ``InvalidChange``."""
+    """Return an object's value after a change, None if it is dropped.
+
+    Raises ``InvalidChange``.
+    """
     kind, name = get_changed_object(change)
     if isinstance(change, Create):
         if before is not None:
-            raise InvalidChange(f"{kind} {name!r} exists already")
+            raise InvalidChange(f"{kind} {name!r} already exists")
         return _apply_settings(kind, {"name": name}, change.settings)
     if isinstance(change, SetRule):
         return Rule(
@@ -164,7 +175,7 @@
 
 
 def get_changed_object(change: Change) -> tuple[str, str]:
-    """Return kind and name of the object that a change touches."""
+    """Return the kind and name of the object that a change applies to."""
     if isinstance(change, Create | Alter | Drop):
         return change.kind, change.name
     if isinstance(change, SetRule):
@@ -175,7 +186,7 @@
 
 
 class Writer:
-    """Makes operators' changes through the object API."""
+    """Writes operators' changes through the object API."""
 
     def __init__(
         self,
@@ -192,7 +203,7 @@
         change: Change,
         dry_run: bool = False,
     ) -> Result[AppliedChange, ChangeRefused]:
-        """Make a change, or only work it out."""
+        """Make a change; a dry run only computes its result."""
         kind, name = get_changed_object(change)
         key = make_config_key(kind, name)
         try:
@@ -256,7 +267,11 @@
         new_object: ConfigObject,
         current: StoredObject,
     ) -> Result[AppliedChange, ChangeRefused]:
-        """Tell a conflict with the own change, which arrived twice, from another's."""
+        """Distinguish this change, delivered twice, from a conflicting one.
+
+        A write that arrives twice conflicts with itself: the stored object then
+        has the same change id, and the change was accepted.
+        """
         existing = self._read(key, current)
         if existing is not None and existing.change == new_object.change:
             return Ok(replace(applied, revision=current.revision))
@@ -266,14 +281,18 @@
         existing = self._read(key, current)
         if existing is None:
             return self._refuse(
-                ChangeFailure.CONFLICT, f"{key} is gone; nothing changed"
+                ChangeFailure.CONFLICT, f"nothing changed: {key} no longer exists"
             )
         age = max(0.0, self._wall_clock() - existing.at)
-        shown = "dropped it" if existing.value is None else f"made it {existing.value}"
+        shown = (
+            "dropped it"
+            if existing.value is None
+            else f"changed it to {existing.value}"
+        )
         return self._refuse(
             ChangeFailure.CONFLICT,
             f"nothing changed: {existing.by} {shown} {age:.1f} s ago, "
-            f"at revision {existing.revision}; look and try again",
+            f"at revision {existing.revision}; read it again and retry",
         )
 
     async def _resolve(
@@ -283,10 +302,11 @@
         new_object: ConfigObject,
         version: int,
     ) -> Result[AppliedChange, ChangeRefused]:
-        """Find out by reading whether a change with a lost answer was accepted.
+        """Find out whether a write with a lost response was accepted.
 
-        While the old version is still there the write may yet arrive. Writing the
-        same change again on the same version settles it: only one can take effect.
+        While the object still has the old version, the write may still arrive. The
+        same change is therefore written again, conditional on the same version:
+        only one of the two writes can succeed.
         """
         for _ in range(READ_BACK_TRIES):
             try:
@@ -301,7 +321,7 @@
                 await asyncio.sleep(READ_BACK_WAIT)
         return self._refuse(
             ChangeFailure.UNKNOWN,
-            f"the answer was lost and the object API does not answer: whether "
-            f"{applied.kind} {applied.name} changed is not known; "
-            f"'show {applied.kind}s where name = {applied.name}' will tell",
+            f"outcome unknown: response lost and the object API does not respond; "
+            f"to see whether {applied.kind} {applied.name} changed, run "
+            f"'show {applied.kind}s where name = {applied.name}'",
         )
--- a/src/kestreltally/peers/__init__.py
+++ b/src/kestreltally/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between daemons of the product's own way, by thrift."""
+"""Messages between ``kestreltallyd`` daemons over Thrift."""
--- a/src/kestreltally/peers/codec.py
+++ b/src/kestreltally/peers/codec.py
@@ -1,4 +1,4 @@
-"""Turn the typed messages into thrift structs and back, by their equal names."""
+"""Conversion between message classes and the Thrift structs of the same names."""
 
 import re
 from collections.abc import Callable, Hashable
@@ -17,7 +17,7 @@
 
 
 class MalformedEnvelope(ValueError):
-    """A peer's envelope does not hold exactly the fields of its messages."""
+    """A peer's envelope lacks a required field or holds an unknown message."""
 
 
 def _make_field_name(message_type: type[Any]) -> str:
@@ -35,7 +35,7 @@
 
 @cache
 def _make_writer(of_type: Hashable) -> Converter:
-    """Return what turns a value of ``of_type`` into its thrift form."""
+    """Return a converter of values of ``of_type`` to their Thrift form."""
     if get_origin(of_type) is list:
         item_writer = _make_writer(get_args(of_type)[0])
         if item_writer is _identity:
@@ -57,7 +57,10 @@
 
 @cache
 def _make_reader(of_type: Hashable) -> Converter:
-    """Return what turns a thrift value back into ``of_type``."""
+    """Return a converter of Thrift values to ``of_type``.
+
+    The converter raises ``MalformedEnvelope`` if a struct or field is missing.
+    """
     if get_origin(of_type) is list:
         item_reader = _make_reader(get_args(of_type)[0])
         return lambda items: [item_reader(item) for item in items or ()]
@@ -68,7 +71,7 @@
 
     def read(value: Any) -> Any:
         if value is None:
-            raise MalformedEnvelope(f"a {of_type.__name__} is missing")
+            raise MalformedEnvelope(f"struct {of_type.__name__} is missing")
         found = {}
         for name, reader in readers:
             plain = getattr(value, name)
@@ -89,7 +92,7 @@
 
 
 def write_envelope(envelope: Envelope) -> Any:
-    """Return the thrift struct of ``envelope``."""
+    """Convert an envelope to its Thrift struct."""
     written = []
     for message in envelope.messages:
         message_type = type(message)
@@ -109,16 +112,16 @@
         if body is not None:
             message: PeerMessage = reader(body)
             return message
-    raise MalformedEnvelope("a message has no known field")
+    raise MalformedEnvelope("message has none of the known fields set")
 
 
 def read_envelope(written: Any) -> Envelope:
-    """Return the envelope of a thrift struct.
+    """Convert a Thrift struct to an envelope.
 
-    Raises ``MalformedEnvelope`` where a field is missing.
+    Raises ``MalformedEnvelope`` if a required field is missing.
     """
     if written is None or not written.sender or written.incarnation is None:
-        raise MalformedEnvelope("the sender is missing")
+        raise MalformedEnvelope("sender or incarnation is missing")
     return Envelope(
         sender=VmId(written.sender),
         incarnation=written.incarnation,
--- a/src/kestreltally/peers/messages.py
+++ b/src/kestreltally/peers/messages.py
@@ -1,7 +1,7 @@
-"""The typed messages that daemons send to each other.
+"""Typed messages between daemons.
 
-Times in messages are durations, for the VMs' clocks are not compared. Each
-class has a struct of the same name and fields in ``peers.thrift``.
+Times in messages are durations, since the clocks of different VMs are not compared.
+Each class has a struct of the same name and fields in ``peers.thrift``.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rumour:
-    """What the sender believes of one daemon."""
+    """The sender's view of one daemon's membership state."""
 
     vm: str
     host: str
@@ -25,7 +25,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """A heartbeat that asks for an answer; ``on_behalf_of`` is another asker's VM."""
+    """A heartbeat to be acknowledged.
+
+    ``on_behalf_of`` is the VM that requested an indirect heartbeat, or empty.
+    """
 
     sequence: int
     rumours: list[Rumour]
@@ -36,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """The answer to a heartbeat; ``subject`` is the daemon that is alive."""
+    """The acknowledgement of a heartbeat; ``subject`` is the daemon that is alive."""
 
     sequence: int
     subject: str
@@ -47,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingFor:
-    """Ask a third daemon to send a heartbeat to ``subject``."""
+    """Request that a third daemon sends a heartbeat to ``subject``."""
 
     sequence: int
     subject: str
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskPermit:
-    """Ask an endpoint's leader for leave to run one request there."""
+    """Ask an endpoint's leader for a permit to run one request at the endpoint."""
 
     ask: str
     endpoint: str
@@ -68,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WithdrawAsk:
-    """Take an ask back."""
+    """Withdraw an ask for a permit."""
 
     ask: str
     endpoint: str
@@ -76,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class View:
-    """An endpoint's state as its leader tells it."""
+    """An endpoint's state as reported by its leader."""
 
     endpoint: str
     loaded: list[str]
@@ -86,10 +89,11 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantPermit:
-    """Leave to run ``count`` requests at once.
+    """A permit to run ``count`` requests concurrently.
 
-    It is named by its ask, and lasts ``life`` seconds from the sending of the ask
-    numbered ``turn``. ``views`` holds the endpoint's state, but not every time.
+    The permit is identified by its ask. It is valid for ``life`` seconds from when
+    the ask numbered ``turn`` was sent. ``views`` holds the endpoint's state, or is
+    empty.
     """
 
     ask: str
@@ -105,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskQueued:
-    """The ask waits; ``expected_wait`` is the leader's estimate in seconds."""
+    """The ask is queued; ``expected_wait`` is the leader's estimate."""
 
     ask: str
     endpoint: str
@@ -115,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefusePermit:
-    """The ask is refused; ``leader`` names the right leader where it is known."""
+    """The ask is refused; ``leader`` names the current leader if it is known."""
 
     ask: str
     endpoint: str
@@ -126,10 +130,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReturnPermit:
-    """The holder starts nothing more under the permit; ``running`` still run.
+    """The holder starts no more requests under the permit; ``running`` still run.
 
-    ``unsure``: a request was given up without the endpoint's word, so that only
-    a later report can show that it ended.
+    ``unsure`` is set if a request was abandoned without a response of the endpoint,
+    so that only a later report can show that it ended.
     """
 
     permit: str
@@ -140,14 +144,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitClosed:
-    """The leader has taken note that a permit is over."""
+    """The leader's acknowledgement that a permit has ended."""
 
     permit: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointFault:
-    """An entry daemon saw an endpoint fail at one adapter version."""
+    """An entry daemon observed a failure of an endpoint with an adapter version."""
 
     endpoint: str
     adapter: str
@@ -157,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandedPermit:
-    """One line of the book that a leader hands over."""
+    """One permit in the state that a leader hands over."""
 
     permit: str
     adapter: str
@@ -171,7 +175,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """The leader offers its endpoint, with its book, to the receiver."""
+    """The leader offers its endpoint and its permits to the receiver."""
 
     endpoint: str
     epoch: Epoch
@@ -183,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskLoad:
-    """Ask the load-budget leader for leave to load."""
+    """Ask the leader of the load budget for permission to load an adapter."""
 
     load: str
     urgency: float
@@ -191,14 +195,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantLoad:
-    """Leave to load now."""
+    """Permission to start the load now."""
 
     load: str
 
 
 @dataclass(frozen=True, slots=True)
 class EndLoad:
-    """The load is over, or no longer wanted."""
+    """The load has ended or is no longer required."""
 
     load: str
 
@@ -214,7 +218,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PushChanges:
-    """All changes of the configuration after ``after`` and up to ``revision``."""
+    """All configuration changes after ``after``, up to and including ``revision``."""
 
     after: Revision
     revision: Revision
@@ -225,7 +229,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PullChanges:
-    """Ask for the changes after ``after``."""
+    """Request the configuration changes after ``after``."""
 
     after: Revision
 
@@ -273,9 +277,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """Messages of one sender in their order.
+    """Messages of one sender, in order.
 
-    ``stamp`` is the sender's hybrid logical time, in seconds since 1970.
+    ``stamp`` is the sender's hybrid logical clock, in seconds since 1970.
     """
 
     sender: VmId
--- a/src/kestreltally/peers/peers.thrift
+++ b/src/kestreltally/peers/peers.thrift
@@ -1,5 +1,5 @@
-// Messages between daemons. One struct for each class of messages.py, with the
-// same names; the union of them is the struct Message, of which one field is set.
+// Messages between daemons. Each class of messages.py has a struct of the same name
+// and fields. Exactly one field of the struct Message is set, as in a union.
 
 struct Rumour {
   1: string vm, 2: string host, 3: i32 port, 4: string data_centre,
@@ -73,6 +73,6 @@
 }
 
 service Peers {
-  // Take messages in; the answers come as messages of their own.
+  // Receives messages. Replies are sent as separate messages.
   bool deliver(1: Envelope envelope)
 }
--- a/src/kestreltally/peers/transport.py
+++ b/src/kestreltally/peers/transport.py
@@ -1,7 +1,8 @@
-"""Messages between daemons by thrift over TCP: one pipe to each peer.
+"""Thrift transport over TCP for messages between daemons.
 
-A pipe has a bounded queue; when a peer does not take messages the oldest are
-dropped, as a network would, and the senders' own retries make up for it.
+Each peer has one connection with a bounded queue. When a peer does not accept
+messages, the oldest are dropped, as a network would do; the senders' retries
+compensate for that.
 """
 
 import asyncio
@@ -38,7 +39,7 @@
 
 
 class _PeerConnection:
-    """The messages on their way to one peer."""
+    """The connection to one peer and its queue of outgoing messages."""
 
     def __init__(self, host: str, port: int) -> None:
         self._host = host
@@ -52,7 +53,7 @@
         self._wake.set()
 
     async def run(self) -> None:
-        """Send until the pipe has been idle for long."""
+        """Send queued messages until the connection is idle for ``IDLE_TIMEOUT``."""
         while True:
             try:
                 await asyncio.wait_for(self._wake.wait(), IDLE_TIMEOUT)
@@ -78,7 +79,9 @@
             client = await self._connect()
             await asyncio.wait_for(client.deliver(write_envelope(joined)), CALL_TIMEOUT)
         except (OSError, TException, TimeoutError, EOFError) as error:
-            LOG.debug("peers: %s:%d did not take: %r", self._host, self._port, error)
+            LOG.debug(
+                "peers: sending to %s:%d failed: %r", self._host, self._port, error
+            )
             self.close()
             await asyncio.sleep(RETRY_DELAY)
 
@@ -108,7 +111,7 @@
         self._tasks: dict[tuple[str, int], asyncio.Task[None]] = {}
 
     async def send(self, host: str, port: int, envelope: Envelope) -> bool:
-        """Queue messages for a peer."""
+        """Queue messages for a peer, opening a connection if there is none."""
         address = (host, port)
         connection = self._connections.get(address)
         if connection is None:
@@ -127,7 +130,7 @@
             connection.close()
 
     async def close(self) -> None:
-        """Close all pipes."""
+        """Cancel all senders, which closes their connections."""
         tasks = list(self._tasks.values())
         for task in tasks:
             task.cancel()
@@ -135,23 +138,23 @@
 
 
 class PeerServer:
-    """Takes the messages of other daemons in."""
+    """Receives messages of other daemons."""
 
     def __init__(self, receive: Callable[[Envelope], None]) -> None:
         self._receive = receive
         self._server: Any = None
 
     async def deliver(self, written: Any) -> bool:
-        """Serve the thrift method of the same name."""
+        """Handle the Thrift method ``deliver``; False for a malformed envelope."""
         try:
             self._receive(read_envelope(written))
         except MalformedEnvelope as error:
-            LOG.warning("peers: malformed envelope left out: %s", error)
+            LOG.warning("peers: malformed envelope dropped: %s", error)
             return False
         return True
 
     async def start(self, host: str, port: int) -> None:
-        """Listen; raises ``OSError`` when the address is taken."""
+        """Start listening; raises ``OSError`` if the address is in use."""
         server = TAsyncServer(
             TAsyncProcessor(IDL.Peers, self),
             TAsyncServerSocket(host=host, port=port, client_timeout=None),
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Messages come back from the wire as they went; malformed ones are left out."""
+"""Messages survive encoding and decoding; malformed ones are rejected."""
 
 from typing import Any
 
--- a/tests/test_language.py
+++ b/tests/test_language.py
@@ -1,4 +1,4 @@
-"""The operators' language: what parses, and how errors point at their place."""
+"""The operators' language: valid statements, and positions in error messages."""
 
 import pytest
 from hypothesis import given, settings
--- a/tests/test_objects.py
+++ b/tests/test_objects.py
@@ -1,4 +1,4 @@
-"""Objects of the platform that cannot be read are named and lose nothing."""
+"""Malformed objects of the platform are reported by key and do not affect others."""
 
 from typing import Any
 
--- a/tests/test_operators.py
+++ b/tests/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators' changes: races, lost answers, outages."""
+"""Configuration changes by operators: conflicts, lost responses, outages."""
 
 import asyncio
 from random import Random
@@ -42,7 +42,7 @@
     assert [isinstance(result, Ok) for result in results] == [True, False]
     refused = results[1].err_value
     assert refused.failure is ChangeFailure.CONFLICT
-    assert "aida made it" in refused.message
+    assert "aida changed it to" in refused.message
 
 
 async def create_with_lost_answer(times: int) -> tuple[Any, FakeStore]:
