--- a/src/kestreltally/entry/affinity.py
+++ b/src/kestreltally/entry/affinity.py
@@ -23,22 +23,24 @@
         )
 
     def compute_cached_fraction(
-        self, request: ClientRequest, key: WeightsKey, at: EndpointId
+        self, request: ClientRequest, key: WeightsKey, endpoint: EndpointId
     ) -> float:
         """Return the fraction of a request's prompt that an endpoint has processed."""
         cached = 0
         for part in request.head.parts:
-            if self._processed_by.get((key, part.id)) != at:
+            if self._processed_by.get((key, part.id)) != endpoint:
                 break
             cached += part.tokens
         return cached / max(1, request.head.prompt_tokens)
 
-    def record(self, request: ClientRequest, key: WeightsKey, at: EndpointId) -> None:
+    def record(
+        self, request: ClientRequest, key: WeightsKey, endpoint: EndpointId
+    ) -> None:
         """Record that an endpoint processes a request's prompt."""
         if request.head.prompt_tokens < MIN_AFFINITY_TOKENS:
             return
         for part in request.head.parts:
-            self._processed_by[(key, part.id)] = at
+            self._processed_by[(key, part.id)] = endpoint
             self._processed_by.move_to_end((key, part.id))
         while len(self._processed_by) > MAX_AFFINITY_ENTRIES:
             self._processed_by.popitem(last=False)
--- a/src/kestreltally/entry/api.py
+++ b/src/kestreltally/entry/api.py
@@ -57,7 +57,7 @@
 # this before the end of a planned stop is refused, so that it is sent to another
 # daemon.
 MAX_ANSWER_TIME: Final[Seconds] = 0.6
-RETRY_ELSEWHERE: Final[Seconds] = 0.02
+RETRY_ELSEWHERE_DELAY: Final[Seconds] = 0.02
 
 
 def choose_service(route: Route, request_id: str) -> ServiceName:
@@ -103,12 +103,12 @@
         self._runners: list[web.ServerRunner] = []
         self._record_end = record_end
         self._stops_at: Seconds | None = None
-        self._stop_began: Seconds = 0.0
-        self.live = 0
+        self._stop_started_at: Seconds = 0.0
+        self.active_requests = 0
 
     async def start(self, clients: SocketAddress, readiness: SocketAddress) -> None:
         """Listen for clients and readiness checks; raises ``OSError``."""
-        front = web.Server(
+        client_server = web.Server(
             self._serve,
             handler_cancellation=True,
             keepalive_timeout=KEEP_ALIVE_TIMEOUT,
@@ -118,9 +118,9 @@
             access_log=None,
             auto_decompress=False,
         )
-        ready = web.Server(self._answer_readiness, access_log=None)
-        await self.listen(ready, readiness)
-        await self.listen(front, clients)
+        readiness_server = web.Server(self._answer_readiness, access_log=None)
+        await self.listen(readiness_server, readiness)
+        await self.listen(client_server, clients)
 
     async def listen(self, server: web.Server, at: SocketAddress) -> None:
         """Serve at an address until ``close``; raises ``OSError``."""
@@ -140,10 +140,10 @@
         """Return whether a planned stop has started."""
         return self._stops_at is not None
 
-    def stop_by(self, moment: Seconds) -> None:
+    def stop_by(self, deadline: Seconds) -> None:
         """Start a planned stop: report not ready, and finish all requests by a time."""
-        self._stop_began = asyncio.get_running_loop().time()
-        self._stops_at = moment
+        self._stop_started_at = asyncio.get_running_loop().time()
+        self._stops_at = deadline
 
     def _check_stop(self, route: Route, now: Seconds) -> None:
         """Refuse a request that could not be finished before a planned stop."""
@@ -152,10 +152,10 @@
         latest_arrival = self._stops_at - MAX_ANSWER_TIME
         if route.kind is RequestKind.STREAM:
             latest_arrival = min(
-                latest_arrival, self._stop_began + STREAM_ACCEPT_DURATION
+                latest_arrival, self._stop_started_at + STREAM_ACCEPT_DURATION
             )
         if now > latest_arrival:
-            raise Refused(UNAVAILABLE, "daemon is stopping", RETRY_ELSEWHERE)
+            raise Refused(UNAVAILABLE, "daemon is stopping", RETRY_ELSEWHERE_DELAY)
 
     @property
     def ready(self) -> bool:
@@ -167,25 +167,25 @@
         return web.Response(status=200 if self.ready else 503)
 
     async def _serve(self, client: web.BaseRequest) -> web.StreamResponse:
-        self.live += 1
+        self.active_requests += 1
         try:
-            return await self._serve_counted(client)
+            return await self._serve_and_log(client)
         finally:
-            self.live -= 1
+            self.active_requests -= 1
 
-    async def _serve_counted(self, client: web.BaseRequest) -> web.StreamResponse:
+    async def _serve_and_log(self, client: web.BaseRequest) -> web.StreamResponse:
         call = ClientCall(client, asyncio.get_running_loop().time())
         try:
             call.request = await self._read(client)
-            response = await self._serve_granted(call, call.request)
+            response = await self._serve_within_quota(call, call.request)
         except Refused as refused:
             self._log_end(Decision.REQUEST_REFUSED, call, refused)
             response = make_refusal(refused, read_request_id(client.headers))
         except (StreamBroken, ClientDisconnected) as broken:
             self._log_end(Decision.REQUEST_BROKEN_OFF, call, broken)
             return self._abort(client)
-        except (asyncio.CancelledError, ConnectionError) as left:
-            self._log_end(Decision.REQUEST_ABANDONED, call, left)
+        except (asyncio.CancelledError, ConnectionError) as disconnect:
+            self._log_end(Decision.REQUEST_ABANDONED, call, disconnect)
             raise
         else:
             self._log_end(Decision.REQUEST_DONE, call, response)
@@ -193,7 +193,7 @@
             response.force_close()
         return response
 
-    async def _serve_granted(
+    async def _serve_within_quota(
         self, call: ClientCall, request: ClientRequest
     ) -> web.StreamResponse:
         """Serve a request within its organisation's quota; raises ``Refused``."""
--- a/src/kestreltally/entry/delivery.py
+++ b/src/kestreltally/entry/delivery.py
@@ -91,13 +91,13 @@
             self._health.record_success(endpoint.id)
             return
         now = asyncio.get_running_loop().time()
-        self._health.row(endpoint.id).answered_at = now
+        self._health.get_row(endpoint.id).answered_at = now
         retryable = request.route.repeatable and progress.runs < request.route.attempts
         if progress.response is not None:
             raise AttemptFailed(f"status {answer.status}", may_have_run=True)
         if answer.status in NOT_RUN_STATUSES:
             raise AttemptFailed(f"status {answer.status}", may_have_run=True)
-        if retryable and self._budget.remaining(request.service_name, now) >= 1:
+        if retryable and self._budget.compute_remaining(request.service_name, now) >= 1:
             raise AttemptFailed(f"status {answer.status}", may_have_run=True)
 
     async def _forward_long_body(
@@ -160,14 +160,14 @@
         answer: Answer,
         content: bytes,
     ) -> None:
-        whole = progress.events.feed(content)
-        if not whole:
+        complete_events = progress.events.feed(content)
+        if not complete_events:
             return
-        progress.record_answered(whole=False)
+        progress.record_answered(complete=False)
         if progress.response is None:
             progress.response = make_streamed_answer(answer)
             await progress.response.prepare(client)
-        await progress.response.write(whole)
+        await progress.response.write(complete_events)
 
 
 def _record_complete(progress: Progress, answer: Answer) -> None:
@@ -177,6 +177,6 @@
     of its requests may have failed this one without processing it.
     """
     if answer.status < MIN_FAILURE_STATUS:
-        progress.record_answered(whole=True)
+        progress.record_answered(complete=True)
     else:
         progress.record_ended()
--- a/src/kestreltally/entry/demand.py
+++ b/src/kestreltally/entry/demand.py
@@ -10,7 +10,7 @@
 class WeightsDemand:
     """The requests for one service's weights since the last report.
 
-    ``waiting`` counts those that wait for the weights now, ``timely`` those of them
+    ``waiting`` counts those that wait for the weights now, ``within_objective`` those of them
     that can still be answered within their objective. ``prompt_tokens`` is the total of
     the waiting requests. ``missed`` counts refused requests.
     """
@@ -20,7 +20,7 @@
     arrivals: int
     waiting: int
     missed: int
-    timely: int = 0
+    within_objective: int = 0
     prompt_tokens: int = 0
 
 
@@ -103,6 +103,6 @@
             arrivals=self._arrivals.get((service, key), 0),
             waiting=len(waiters),
             missed=self._missed.get((service, key), 0),
-            timely=sum(1 for each in waiters if now <= each.ready_deadline),
+            within_objective=sum(1 for each in waiters if now <= each.ready_deadline),
             prompt_tokens=sum(each.prompt_tokens for each in waiters),
         )
--- a/src/kestreltally/entry/finder.py
+++ b/src/kestreltally/entry/finder.py
@@ -47,8 +47,12 @@
 
 def make_backoff_refusal(backoff: Seconds) -> Refused:
     """Return a refusal with a jittered retry time after the end of a backoff."""
-    after = max(DEFAULT_RETRY_DELAY, backoff * random.uniform(1.0, 1.0 + RETRY_JITTER))
-    return Refused(UNAVAILABLE, "all endpoints that could serve are in backoff", after)
+    retry_after = max(
+        DEFAULT_RETRY_DELAY, backoff * random.uniform(1.0, 1.0 + RETRY_JITTER)
+    )
+    return Refused(
+        UNAVAILABLE, "all endpoints that could serve are in backoff", retry_after
+    )
 
 
 class EndpointFinder:
@@ -107,7 +111,7 @@
                 raise make_final_error(progress)
             if now + backoff > request.first_event_deadline:
                 raise make_backoff_refusal(backoff)
-            await self._wait_for_credit(request, None, min(backoff, POLL_INTERVAL))
+            await self._wait_until_available(request, None, min(backoff, POLL_INTERVAL))
             progress.waited += loop.time() - now
 
     async def _wait_for_weights(
@@ -132,7 +136,7 @@
         if not progress.waited:
             self.expedite()
         try:
-            await self._wait_for_credit(request, key, POLL_INTERVAL)
+            await self._wait_until_available(request, key, POLL_INTERVAL)
         finally:
             self.demand.end_wait(request.service_name, key, waiter)
             progress.waited += loop.time() - started_at
@@ -143,7 +147,7 @@
         for each in self._fleet.list_rate_limited(request.service_name, key, now):
             self._fleet.notices.record_demand(each, now)
 
-    async def _wait_for_credit(
+    async def _wait_until_available(
         self, request: ClientRequest, key: WeightsKey | None, timeout: Seconds
     ) -> None:
         """Wait for weights, or for a credit at an endpoint with a rate limit."""
@@ -187,17 +191,17 @@
             raise make_final_error(progress)
         wait = self.load_wait if self.load_wait is not None else MAX_RETRY_DELAY
         backoff = self._fleet.find_next_backoff(request.service_name, key, now)
-        coming = self._fleet.is_loading(request.service_name, key, now)
-        ready = now + (0.0 if coming else min(wait, backoff or wait))
-        if ready > self._compute_ready_deadline(
-            request, new=not progress.waited and not coming
+        is_loading = self._fleet.is_loading(request.service_name, key, now)
+        ready_at = now + (0.0 if is_loading else min(wait, backoff or wait))
+        if ready_at > self._compute_ready_deadline(
+            request, new=not progress.waited and not is_loading
         ):
             self.demand.record_missed(request.service_name, key)
             self.expedite()
             if backoff is not None and backoff < wait:
                 raise make_backoff_refusal(backoff)
-            after = min(MAX_RETRY_DELAY, max(DEFAULT_RETRY_DELAY, wait))
-            raise Refused(UNAVAILABLE, f"{key} is not loaded", after)
+            retry_after = min(MAX_RETRY_DELAY, max(DEFAULT_RETRY_DELAY, wait))
+            raise Refused(UNAVAILABLE, f"{key} is not loaded", retry_after)
 
     def _compute_ready_deadline(self, request: ClientRequest, *, new: bool) -> Seconds:
         """Return the latest time of loaded weights for which a request keeps waiting.
@@ -242,9 +246,9 @@
             if key
             else 0.0
         )
-        in_flight, unread = self._health.measure_one(endpoint.id, now)
+        in_flight, unread = self._health.measure_endpoint(endpoint.id, now)
         work = PrefillWork(
-            own_tokens=int(request.head.prompt_tokens * (1.0 - min(1.0, cached))),
+            uncached_tokens=int(request.head.prompt_tokens * (1.0 - min(1.0, cached))),
             queued_tokens=unread + self.remote_occupancy.unread.get(endpoint.id, 0),
             priority=request.priority,
         )
--- a/src/kestreltally/entry/health.py
+++ b/src/kestreltally/entry/health.py
@@ -82,7 +82,7 @@
         # daemons.
         self.outcomes = OutcomeCounter()
 
-    def row(self, endpoint: EndpointId) -> Health:
+    def get_row(self, endpoint: EndpointId) -> Health:
         """Return an endpoint's row, creating it if needed."""
         health = self._rows.get(endpoint)
         if health is None:
@@ -106,7 +106,7 @@
         increase.
         """
         self._next_token += 1
-        health = self.row(endpoint)
+        health = self.get_row(endpoint)
         health.in_flight += 1
         health.pending[self._next_token] = PendingAnswer(
             now, unread, priority, now + prefill_delay, prefill_duration
@@ -117,7 +117,7 @@
         self, endpoint: EndpointId, token: int, now: Seconds
     ) -> None:
         """Record that an answer has started."""
-        health = self.row(endpoint)
+        health = self.get_row(endpoint)
         answer = health.pending.pop(token, None)
         health.answered_at = health.received_at = now
         if answer is not None:
@@ -126,11 +126,11 @@
 
     def record_received(self, endpoint: EndpointId, now: Seconds) -> None:
         """Record that bytes came from an endpoint."""
-        self.row(endpoint).received_at = now
+        self.get_row(endpoint).received_at = now
 
     def is_overtaken(self, endpoint: EndpointId, token: int) -> bool:
         """Return whether a later request of no higher urgency was answered first."""
-        health = self.row(endpoint)
+        health = self.get_row(endpoint)
         answer = health.pending.get(token)
         if answer is None:
             return False
@@ -141,14 +141,14 @@
 
     def end(self, endpoint: EndpointId, token: int) -> None:
         """Record that a request has ended, with any outcome."""
-        health = self.row(endpoint)
+        health = self.get_row(endpoint)
         health.in_flight -= 1
         health.pending.pop(token, None)
 
     def record_success(self, endpoint: EndpointId) -> None:
         """Count a complete answer."""
         self.outcomes.record_completed(endpoint)
-        health = self.row(endpoint)
+        health = self.get_row(endpoint)
         health.failure_rate *= 1 - FAILURE_RATE_WEIGHT
         health.failed_at.clear()
         health.ejections = 0
@@ -156,7 +156,7 @@
     def record_failure(self, endpoint: EndpointId, now: Seconds) -> bool:
         """Count a failure; return whether it ejects the endpoint."""
         self.outcomes.record_failed(endpoint)
-        health = self.row(endpoint)
+        health = self.get_row(endpoint)
         health.failure_rate += FAILURE_RATE_WEIGHT * (1 - health.failure_rate)
         health.failed_at.append(now)
         recent = sum(1 for at in health.failed_at if now - at < FAILURE_WINDOW)
@@ -190,7 +190,7 @@
         return self._drop_outliers(healthy)
 
     def _drop_outliers(self, endpoints: list[Endpoint]) -> list[Endpoint]:
-        rates = [self.row(each.id).failure_rate for each in endpoints]
+        rates = [self.get_row(each.id).failure_rate for each in endpoints]
         if not rates:
             return endpoints
         median = sorted(rates)[(len(rates) - 1) // 2]
@@ -216,7 +216,7 @@
             unread={endpoint: tokens for endpoint, tokens in unread.items() if tokens},
         )
 
-    def measure_one(self, endpoint: EndpointId, now: Seconds) -> tuple[int, int]:
+    def measure_endpoint(self, endpoint: EndpointId, now: Seconds) -> tuple[int, int]:
         """Return the requests in flight at an endpoint and their unprocessed tokens."""
         health = self._rows.get(endpoint)
         if health is None:
--- a/src/kestreltally/entry/outcomes.py
+++ b/src/kestreltally/entry/outcomes.py
@@ -17,7 +17,7 @@
     """
 
     endpoint: EndpointId
-    whole: int
+    completed: int
     failed: int
 
 
@@ -25,12 +25,12 @@
     """Counts outcomes by endpoint."""
 
     def __init__(self) -> None:
-        self._whole: Counter[EndpointId] = Counter()
+        self._completed: Counter[EndpointId] = Counter()
         self._failed: Counter[EndpointId] = Counter()
 
     def record_completed(self, endpoint: EndpointId) -> None:
         """Count a complete answer."""
-        self._whole[endpoint] += 1
+        self._completed[endpoint] += 1
 
     def record_failed(self, endpoint: EndpointId) -> None:
         """Count a failure."""
@@ -39,15 +39,15 @@
     def add(self, outcomes: Iterable[Outcome]) -> None:
         """Add the counts of another daemon."""
         for each in outcomes:
-            self._whole[each.endpoint] += each.whole
+            self._completed[each.endpoint] += each.completed
             self._failed[each.endpoint] += each.failed
 
     def take(self) -> list[Outcome]:
         """Return and clear the counts since the last call."""
         counts = [
-            Outcome(endpoint, self._whole[endpoint], self._failed[endpoint])
-            for endpoint in self._whole.keys() | self._failed.keys()
+            Outcome(endpoint, self._completed[endpoint], self._failed[endpoint])
+            for endpoint in self._completed.keys() | self._failed.keys()
         ]
-        self._whole.clear()
+        self._completed.clear()
         self._failed.clear()
         return counts
--- a/src/kestreltally/entry/progress.py
+++ b/src/kestreltally/entry/progress.py
@@ -29,7 +29,7 @@
     """The state of one request.
 
     ``runs`` counts the sends that may have run: no endpoint stated that they did not.
-    ``flight`` is the watch on the last send. ``content`` is what log lines show of the
+    ``attempt`` is the watch on the last send. ``content`` is what log lines show of the
     content of a stopped request.
     """
 
@@ -43,24 +43,24 @@
     first_byte_at: Seconds | None = None
     events: EventReader = field(default_factory=EventReader)
     response: web.StreamResponse | None = None
-    flight: Attempt | None = None
+    attempt: Attempt | None = None
     content: str | None = None
 
-    def record_answered(self, *, whole: bool) -> None:
+    def record_answered(self, *, complete: bool) -> None:
         """Record that a part of an answer, or all of it, was valid."""
-        if self.flight is not None:
-            self.flight.answered = True
-            self.flight.complete = whole
+        if self.attempt is not None:
+            self.attempt.answered = True
+            self.attempt.complete = complete
 
     def record_ended(self) -> None:
         """Record that the last send got a complete answer, or did not run."""
-        if self.flight is not None:
-            self.flight.complete = True
+        if self.attempt is not None:
+            self.attempt.complete = True
 
     def record_broken(self) -> None:
         """Record that the connection of the last send broke."""
-        if self.flight is not None:
-            self.flight.broken_off = True
+        if self.attempt is not None:
+            self.attempt.broken_off = True
 
 
 class AttemptFailed(Exception):
--- a/src/kestreltally/entry/relay.py
+++ b/src/kestreltally/entry/relay.py
@@ -111,8 +111,8 @@
         self.budget = budget
         self.finder = EndpointFinder(data_centre, fleet, health)
         self._delivery = Delivery(health, budget)
-        self.poison = PoisonGuard(lambda endpoint: health.row(endpoint).received_at)
-        self.poison.crashes.get_serving = self._get_staying
+        self.poison = PoisonGuard(lambda endpoint: health.get_row(endpoint).received_at)
+        self.poison.crashes.get_serving = self._get_serving
         # Called with a prompt's token count when an endpoint starts or ends its
         # prefill.
         self.record_reading: Callable[[int], None] = lambda _: None
@@ -121,7 +121,7 @@
         # Raises ``Refused`` if a key was revoked after its request was read.
         self.check_caller: Callable[[Caller], None] = lambda _: None
 
-    def _get_staying(self, endpoint: EndpointId) -> Endpoint | None:
+    def _get_serving(self, endpoint: EndpointId) -> Endpoint | None:
         """Return an endpoint if it is listed and not leaving."""
         known = self._fleet.endpoints.get(endpoint)
         return known if known is not None and not known.leaving else None
@@ -205,7 +205,9 @@
             endpoint=endpoint.id,
             fault=failure.fault,
             may_have_run=failure.may_have_run,
-            retries_left=round(self.budget.remaining(request.service_name, now), 1),
+            retries_left=round(
+                self.budget.compute_remaining(request.service_name, now), 1
+            ),
             left=round(request.deadline - now, 3),
         )
 
@@ -237,29 +239,29 @@
         )
         work = replace(option.work, priority=urgency)
         prefill_duration = (
-            prefill_times.compute_token_time(endpoint.id) * work.own_tokens
+            prefill_times.compute_token_time(endpoint.id) * work.uncached_tokens
         )
         token = self.health.start(
             endpoint.id,
             started_at,
-            work.own_tokens,
+            work.uncached_tokens,
             work.priority,
             prefill_delay=predicted - prefill_duration,
             prefill_duration=prefill_duration,
         )
         self._record_use(request, endpoint, 1)
-        self.record_reading(work.own_tokens)
+        self.record_reading(work.uncached_tokens)
         keep = False
         channel: Channel | None = None
         try:
             channel = await self._connect(request, endpoint)
             progress.sends += 1
-            progress.flight = self.poison.crashes.start(request, endpoint)
-            answer = await self._ask(
+            progress.attempt = self.poison.crashes.start(request, endpoint)
+            answer = await self._send_request(
                 request, progress, endpoint, channel, token, urgency
             )
             self.health.record_answer_start(endpoint.id, token, loop.time())
-            self.record_reading(work.own_tokens)
+            self.record_reading(work.uncached_tokens)
             progress.first_byte_at = progress.first_byte_at or loop.time()
             if request.service.engine is not None and answer.status < MIN_ERROR_STATUS:
                 took = loop.time() - started_at
@@ -275,16 +277,16 @@
                 progress.record_ended()
             raise
         finally:
-            self._end_flight(progress)
+            self._end_attempt(progress)
             self.health.end(endpoint.id, token)
             self._record_use(request, endpoint, -1)
             if channel is not None:
                 self._pool.release(channel, keep=keep)
 
-    def _end_flight(self, progress: Progress) -> None:
-        if progress.flight is not None:
-            self.poison.crashes.end(progress.flight)
-            progress.flight = None
+    def _end_attempt(self, progress: Progress) -> None:
+        if progress.attempt is not None:
+            self.poison.crashes.end(progress.attempt)
+            progress.attempt = None
 
     def _record_use(
         self, request: ClientRequest, endpoint: Endpoint, step: int
@@ -317,7 +319,7 @@
         self.finder.demand.record_refused(endpoint.id, key)
         self.finder.expedite()
 
-    async def _ask(
+    async def _send_request(
         self,
         request: ClientRequest,
         progress: Progress,
@@ -398,7 +400,7 @@
                 serves=any(each.id == endpoint.id for each in holders)
                 or self._fleet.is_backing_off(endpoint, now),
                 has_alternative=any(each.id not in progress.tried for each in holders),
-                silent_for=now - self.health.row(endpoint.id).received_at,
+                silent_for=now - self.health.get_row(endpoint.id).received_at,
                 overtaken=self.health.is_overtaken(endpoint.id, token),
             )
         )
--- a/src/kestreltally/entry/retries.py
+++ b/src/kestreltally/entry/retries.py
@@ -36,17 +36,17 @@
         """Use one retry of the budget; return whether it had one."""
         retry_times = self._retry_times[service]
         self._prune(retry_times, now)
-        if len(retry_times) + 1 > self._allowance(service, now):
+        if len(retry_times) + 1 > self._compute_allowance(service, now):
             return False
         retry_times.append(now)
         return True
 
-    def remaining(self, service: ServiceName, now: Seconds) -> float:
+    def compute_remaining(self, service: ServiceName, now: Seconds) -> float:
         """Return the number of retries left in the budget."""
         self._prune(self._retry_times[service], now)
-        return self._allowance(service, now) - len(self._retry_times[service])
+        return self._compute_allowance(service, now) - len(self._retry_times[service])
 
-    def _allowance(self, service: ServiceName, now: Seconds) -> float:
+    def _compute_allowance(self, service: ServiceName, now: Seconds) -> float:
         request_times = self._request_times[service]
         self._prune(request_times, now)
         from_ratio = RATIO_FRACTION * self._bounds.retry_ratio * len(request_times)
--- a/src/kestreltally/entry/upstream.py
+++ b/src/kestreltally/entry/upstream.py
@@ -128,7 +128,7 @@
         """Return the host and port of the endpoint."""
         return self._endpoint.host, self._endpoint.port
 
-    def serve(self, endpoint: Endpoint) -> None:
+    def set_endpoint(self, endpoint: Endpoint) -> None:
         """Use the channel for the current record of its endpoint."""
         self._endpoint = endpoint
 
@@ -252,7 +252,7 @@
         loop = asyncio.get_running_loop()
         channel = self._pop_idle(address, loop.time())
         if channel is not None:
-            channel.serve(endpoint)
+            channel.set_endpoint(endpoint)
             return channel
         return await self._connect(endpoint)
 
--- a/src/kestreltally/estimates/prefill.py
+++ b/src/kestreltally/estimates/prefill.py
@@ -43,11 +43,11 @@
 class PrefillWork:
     """Prompt tokens to process before the first event of a request.
 
-    ``own_tokens`` are those of the request itself that are not cached;
+    ``uncached_tokens`` are those of the request itself that are not cached;
     ``queued_tokens`` those of other requests at the same engine.
     """
 
-    own_tokens: int
+    uncached_tokens: int
     queued_tokens: float
     priority: int
 
@@ -97,24 +97,25 @@
     def _count_tokens(self, work: PrefillWork) -> float:
         """Return the tokens that are processed before the first event."""
         return (
-            work.own_tokens + self.compute_fraction(work.priority) * work.queued_tokens
+            work.uncached_tokens
+            + self.compute_fraction(work.priority) * work.queued_tokens
         )
 
     def learn(self, endpoint: EndpointId, work: PrefillWork, took: Seconds) -> None:
         """Update the estimates with a request's observed time to its first event."""
         if (
-            work.own_tokens >= LONG_PROMPT_TOKENS
-            and work.queued_tokens <= MAX_QUEUED_FRACTION * work.own_tokens
+            work.uncached_tokens >= LONG_PROMPT_TOKENS
+            and work.queued_tokens <= MAX_QUEUED_FRACTION * work.uncached_tokens
         ):
             prefill_time = max(0.0, took - self.base_latency)
             self._learn_token_time(endpoint, prefill_time / self._count_tokens(work))
         elif work.queued_tokens >= LONG_PROMPT_TOKENS:
             token_time = self.compute_token_time(endpoint)
-            waited = took - self.base_latency - token_time * work.own_tokens
+            waited = took - self.base_latency - token_time * work.uncached_tokens
             self._learn_fraction(
                 work.priority, waited / (token_time * work.queued_tokens)
             )
-        elif work.own_tokens <= SHORT_PROMPT_TOKENS and not work.queued_tokens:
+        elif work.uncached_tokens <= SHORT_PROMPT_TOKENS and not work.queued_tokens:
             observed = min(took, MAX_STEP_FACTOR * self.base_latency)
             self.base_latency += BASE_LATENCY_WEIGHT * (observed - self.base_latency)
 
--- a/src/kestreltally/fleet_daemon.py
+++ b/src/kestreltally/fleet_daemon.py
@@ -259,12 +259,14 @@
             "configuration_version": {
                 "store": configuration.version if configuration else 0
             },
-            "requests_live": {"entry": self._entry_api.live},
+            "requests_live": {"entry": self._entry_api.active_requests},
             "requests_in_flight": {
                 str(name): float(count)
                 for name, count in self._relay.health.measure(now).in_flight.items()
             },
-            "retries_left": {name: budget.remaining(name, now) for name in services},
+            "retries_left": {
+                name: budget.compute_remaining(name, now) for name in services
+            },
             "leases_held": {
                 name: float(lease.leads) for name, lease in self._leases.items()
             },
@@ -414,14 +416,16 @@
         """Stop gracefully: accept no new clients, and finish running requests."""
         started_at = self._clock()
         log_decision(
-            LOG, Decision.DAEMON_PLANNED_STOP_BEGINS, live=self._entry_api.live
+            LOG,
+            Decision.DAEMON_PLANNED_STOP_BEGINS,
+            live=self._entry_api.active_requests,
         )
         last = started_at + self._deployment.bounds.grace - STOP_MARGIN
         self._entry_api.stop_by(last)
         while self._clock() < last:
             if (
                 self._clock() - started_at >= MIN_STOP_DURATION
-                and not self._entry_api.live
+                and not self._entry_api.active_requests
             ):
                 break
             await asyncio.sleep(STOP_POLL_INTERVAL)
@@ -429,7 +433,9 @@
         # a daemon that is restarted on this VM continues without a wait.
         for lease in self._leases.values():
             await lease.release()
-        log_decision(LOG, Decision.DAEMON_PLANNED_STOP_ENDS, live=self._entry_api.live)
+        log_decision(
+            LOG, Decision.DAEMON_PLANNED_STOP_ENDS, live=self._entry_api.active_requests
+        )
 
     async def close(self) -> None:
         """Close all connections and cancel all tasks."""
--- a/src/kestreltally/knowledge/credits.py
+++ b/src/kestreltally/knowledge/credits.py
@@ -32,9 +32,9 @@
     CreditDemand,
     CreditHolder,
     CreditIssuer,
-    Terms,
-    compute_leased_terms,
-    compute_unleased_terms,
+    IssueParameters,
+    compute_leased_parameters,
+    compute_unleased_parameters,
 )
 from kestreltally.placing.lease import Lease
 
@@ -62,7 +62,7 @@
         self._clock = clock
         self._local_holder = CreditHolder()
         self._issuer = CreditIssuer(
-            self._local_holder, self._list_credit_holders, self._acquire_local, clock
+            self._local_holder, self._list_credit_holders, self._add_local_credit, clock
         )
         # Credits received from each leader over the current connection.
         self._received: dict[str, Counter[EndpointId]] = {
@@ -88,22 +88,26 @@
         """Record the number of daemons in the groups of all reachable leaders."""
         self._daemon_count.record(count, self._clock())
 
-    def _issues(self, endpoint: Endpoint) -> bool:
+    def _is_issuer(self, endpoint: Endpoint) -> bool:
         """Return whether this daemon issues the credits of an endpoint."""
         is_reachable = self._leaders.is_reachable(self._get_lease(endpoint).data_centre)
-        return self._leads(endpoint) or (self._leaders.leads and not is_reachable)
+        return self._is_leader_of(endpoint) or (
+            self._leaders.leads and not is_reachable
+        )
 
-    def _leads(self, endpoint: Endpoint) -> bool:
+    def _is_leader_of(self, endpoint: Endpoint) -> bool:
         """Return whether this daemon leads an endpoint; the lease may have expired."""
         return self._get_lease(endpoint).leads
 
-    def _choose_terms(self, endpoint: Endpoint, limit: RateLimitState) -> Terms:
+    def _choose_parameters(
+        self, endpoint: Endpoint, limit: RateLimitState
+    ) -> IssueParameters:
         """Return the terms on which this daemon issues credits of an endpoint."""
         if self._get_lease(endpoint).is_sole_holder():
-            return compute_leased_terms(limit.rate)
-        leads = self._leads(endpoint)
+            return compute_leased_parameters(limit.rate)
+        leads = self._is_leader_of(endpoint)
         daemons = self._feed.count_daemons() if leads else self._feed.count_group()
-        return compute_unleased_terms(
+        return compute_unleased_parameters(
             limit.rate, daemons, self._daemon_count.maximum or 0
         )
 
@@ -112,7 +116,7 @@
         known = self._fleet.endpoints.get(endpoint)
         for peer in self._feed.list_followers():
             yield peer.credit_holder
-        if known is not None and self._leads(known):
+        if known is not None and self._is_leader_of(known):
             for peer in self._feed.list_leaders():
                 yield peer.credit_holder
 
@@ -128,11 +132,11 @@
         waits = []
         for name, born, limit in limits:
             known = self._fleet.endpoints.get(name)
-            if known is None or not self._issues(known):
+            if known is None or not self._is_issuer(known):
                 continue
             self._local_holder.requested[name] = limit.list_requested(self._clock())
-            terms = self._choose_terms(known, limit)
-            wait = self._issuer.issue(name, born, limit, terms)
+            parameters = self._choose_parameters(known, limit)
+            wait = self._issuer.issue(name, born, limit, parameters)
             if wait is not None:
                 waits.append(wait)
         if waits:
@@ -147,7 +151,7 @@
         ):
             self._feed.expedite()
 
-    def _acquire_local(self, endpoint: EndpointId, expires_at: Seconds) -> None:
+    def _add_local_credit(self, endpoint: EndpointId, expires_at: Seconds) -> None:
         """Add a credit for this daemon's own calls."""
         known = self._fleet.endpoints.get(endpoint)
         if known is None:
@@ -165,7 +169,7 @@
         known = self._fleet.endpoints.get(endpoint)
         if known is None:
             return
-        if self._issues(known):
+        if self._is_issuer(known):
             self.issue()
             return
         self._expedite(known)
@@ -225,7 +229,7 @@
                 urgency >= PREFETCH_URGENCY for urgency in requested
             ):
                 continue
-            if self._issues(known):
+            if self._is_issuer(known):
                 self.issue()
             else:
                 self._expedite(known)
@@ -289,6 +293,6 @@
                 self._issuer.hand_over(name, expiry_times)
             else:
                 for end in expiry_times:
-                    self._acquire_local(name, end)
+                    self._add_local_credit(name, end)
         if self._leaders.leads:
             self._expedite_unreported()
--- a/src/kestreltally/knowledge/exchange.py
+++ b/src/kestreltally/knowledge/exchange.py
@@ -56,7 +56,7 @@
 from kestreltally.knowledge.updates import (
     AGE_UNKNOWN,
     LeaderState,
-    LedDataCentre,
+    LeaseInfo,
     decode_leader,
     decode_revision,
 )
@@ -166,10 +166,10 @@
             client.record_connected = self.credits.record_connected
             client.record_received = self._poison.record_leader_contact
         self.leader: Leader | None = None
-        self._reported = EMPTY
-        self._contact_at = clock()
-        self._summed_at: Seconds = float("-inf")
-        self._resigned: tuple[LedDataCentre, ...] = ()
+        self._reported_occupancy = EMPTY
+        self._leader_contact_at = clock()
+        self._totals_summed_at: Seconds = float("-inf")
+        self._resigned: tuple[LeaseInfo, ...] = ()
 
     def resign_if_cut_off(self) -> None:
         """Resign the leases if only this daemon has lost the store."""
@@ -184,8 +184,7 @@
         if not held:
             return
         self._resigned = tuple(
-            LedDataCentre(lease.data_centre, lease.resign(), NO_REVISION)
-            for lease in held
+            LeaseInfo(lease.data_centre, lease.resign(), NO_REVISION) for lease in held
         )
         self.feed.send_all()
 
@@ -199,7 +198,7 @@
         configuration = self._fleet.configuration
         has_listed = self._has_listed()
         leads = tuple(
-            LedDataCentre(
+            LeaseInfo(
                 name,
                 lease.fence,
                 lease.observed.revision if lease.observed else NO_REVISION,
@@ -292,8 +291,8 @@
 
     def _add_local(self, report: Any) -> None:
         demand = self._relay.finder.demand
-        self._reported = self._relay.health.measure(self._clock())
-        encode_occupancy(report, self._reported)
+        self._reported_occupancy = self._relay.health.measure(self._clock())
+        encode_occupancy(report, self._reported_occupancy)
         report.demand = [
             encode_demand(each) for each in demand.pop_demand(self._clock())
         ]
@@ -355,8 +354,10 @@
     # How a daemon applies an update.
 
     def _apply_update(self, data_centre: str, update: Any) -> None:
-        for led in update.leads or ():
-            self._leases[led.data_centre].record_revision(decode_revision(led))
+        for lease_row in update.leads or ():
+            self._leases[lease_row.data_centre].record_revision(
+                decode_revision(lease_row)
+            )
         for row in update.leaders or ():
             name, leader = decode_leader(row)
             self.leaders.record_reported(name, leader)
@@ -404,7 +405,7 @@
         self._relay.finder.load_wait = update.load_wait
         if update.in_flight is not None:
             self._relay.finder.remote_occupancy = decode_occupancy(update).minus(
-                self._reported
+                self._reported_occupancy
             )
             self._record_daemon_count(update.daemons)
 
@@ -495,7 +496,7 @@
         """Sum the occupancy of all daemons, as a leader."""
         if self.leader is None:
             return
-        self._summed_at = self._clock()
+        self._totals_summed_at = self._clock()
         total = self.feed.sum_occupancy()
         self.leader.occupancy = total
         self._relay.finder.remote_occupancy = total.minus(
@@ -506,7 +507,7 @@
         """Forward a significant change of a daemon's unread prompt tokens."""
         if not self.leaders.leads:
             return
-        if self._clock() - self._summed_at >= MIN_TOTALS_INTERVAL:
+        if self._clock() - self._totals_summed_at >= MIN_TOTALS_INTERVAL:
             self._sum_totals()
         self.feed.expedite_totals()
         if not peer.leads:
@@ -534,8 +535,8 @@
         """Drop what a leader reported once no leader is reachable."""
         now = self._clock()
         if self.leaders.leads or self.leaders.find_primary() is not None:
-            self._contact_at = now
+            self._leader_contact_at = now
             return
-        is_changing = now - self._contact_at < LEADER_CHANGE_DURATION
+        is_changing = now - self._leader_contact_at < LEADER_CHANGE_DURATION
         self._relay.finder.load_wait = LEADER_CHANGE_LOAD_WAIT if is_changing else None
         self._relay.finder.remote_occupancy = EMPTY
--- a/src/kestreltally/knowledge/feed.py
+++ b/src/kestreltally/knowledge/feed.py
@@ -230,10 +230,10 @@
             totals = self._make_totals()
             self._totals_sent_at = now
             self._totals_changed = False
-        current = self._maker.start_round()
+        update_round = self._maker.start_round()
         for peer in list(self._peers):
             if peer.vm:
-                self._send(peer, current, totals)
+                self._send(peer, update_round, totals)
 
     def _make_totals(self) -> Totals:
         """Return the current totals, which are the same for all followers."""
@@ -248,27 +248,31 @@
             ),
         )
 
-    def _send(self, peer: Peer, current: UpdateRound, totals: Totals | None) -> None:
+    def _send(
+        self, peer: Peer, update_round: UpdateRound, totals: Totals | None
+    ) -> None:
         """Write an update, unless the peer lags behind earlier ones."""
         if self._is_lagging(peer):
             return
-        update, sent = current.make_update(
-            peer.sent_snapshot, leads=bool(peer.leads), whole=peer.needs_full_update
+        update, sent = update_round.make_update(
+            peer.sent_snapshot, leads=bool(peer.leads), is_full=peer.needs_full_update
         )
-        if current.state.leads:
+        if update_round.state.leads:
             peer.sent_snapshot = sent
             peer.needs_full_update = False
             if totals is not None:
-                update.leaders = encode_leaders(current.state.leaders)
+                update.leaders = encode_leaders(update_round.state.leaders)
             if totals is not None and not peer.leads:
                 encode_occupancy(update, totals.occupancy)
                 update.daemons = totals.daemons
                 update.words = totals.throttles
-            _fill_authority(update, peer, current.state)
+            _fill_authority(update, peer, update_round.state)
             for part in self.parts:
                 part.fill_update(update, peer)
-        if self._should_send_configuration(peer, current.state.configuration_version):
-            update.configuration = current.state.configuration
+        if self._should_send_configuration(
+            peer, update_round.state.configuration_version
+        ):
+            update.configuration = update_round.state.configuration
         peer.stream.send(update)
 
     def _is_lagging(self, peer: Peer) -> bool:
--- a/src/kestreltally/knowledge/fleet_rows.py
+++ b/src/kestreltally/knowledge/fleet_rows.py
@@ -163,7 +163,7 @@
         if not self._leaders.leads and self._leaders.find_primary() is not None:
             return
         for endpoint in list(self._fleet.endpoints.values()):
-            leader = self._get_lease(endpoint).data_centre
+            data_centre = self._get_lease(endpoint).data_centre
             leader_only = endpoint.loading or endpoint.quarantined
-            if leader_only and not self._leaders.is_reachable(leader):
+            if leader_only and not self._leaders.is_reachable(data_centre):
                 self.put_row(replace(endpoint, loading=frozenset(), quarantined=False))
--- a/src/kestreltally/knowledge/poison_exchange.py
+++ b/src/kestreltally/knowledge/poison_exchange.py
@@ -62,11 +62,11 @@
 
     def fill_update(self, update: Any, peer: Peer) -> None:
         """Add the facts that were not sent to the daemon yet."""
-        news = self._poison.register.fact_log
-        if peer.sent_facts_position != news.position:
-            facts = news.list_since(peer.sent_facts_position)
+        fact_log = self._poison.register.fact_log
+        if peer.sent_facts_position != fact_log.position:
+            facts = fact_log.list_since(peer.sent_facts_position)
             encode_facts(update, facts, self._clock())
-        peer.sent_facts_position = news.position
+        peer.sent_facts_position = fact_log.position
 
     def apply_update(self, received: ReceivedUpdate) -> None:
         """Apply the secret and the facts of an update."""
@@ -85,7 +85,7 @@
         Each daemon waits a random time before it reports the facts of others: the
         leader echoes those of the first daemon, so that the others can omit them.
         """
-        news = self._poison.register.fact_log
-        news.start_reporting()
+        fact_log = self._poison.register.fact_log
+        fact_log.start_reporting()
         wait = random.uniform(*REMAINING_FACTS_DELAY)
-        asyncio.get_running_loop().call_later(wait, news.report_remaining)
+        asyncio.get_running_loop().call_later(wait, fact_log.report_remaining)
--- a/src/kestreltally/knowledge/rows.py
+++ b/src/kestreltally/knowledge/rows.py
@@ -89,7 +89,7 @@
         arrivals=demand.arrivals,
         waiting=demand.waiting,
         missed=demand.missed,
-        timely=demand.timely,
+        timely=demand.within_objective,
         prompt_tokens=demand.prompt_tokens,
     )
 
@@ -102,7 +102,7 @@
         arrivals=row.arrivals,
         waiting=row.waiting,
         missed=row.missed,
-        timely=row.timely or 0,
+        within_objective=row.timely or 0,
         prompt_tokens=row.prompt_tokens or 0,
     )
 
@@ -160,7 +160,7 @@
 def encode_outcomes(outcomes: Iterable[Outcome]) -> list[Any]:
     """Return the structs of request outcomes."""
     return [
-        OutcomeRow(endpoint=each.endpoint, whole=each.whole, failed=each.failed)
+        OutcomeRow(endpoint=each.endpoint, whole=each.completed, failed=each.failed)
         for each in outcomes
     ]
 
@@ -240,9 +240,9 @@
     return WantedRow(endpoint=endpoint, counts=requested, received=received)
 
 
-def encode_credits(endpoint: EndpointId, lasts: list[Seconds]) -> Any:
+def encode_credits(endpoint: EndpointId, remaining_times: list[Seconds]) -> Any:
     """Return the struct of credits issued at an endpoint, by remaining seconds."""
-    return TurnsRow(endpoint=endpoint, lasts=lasts)
+    return TurnsRow(endpoint=endpoint, lasts=remaining_times)
 
 
 def encode_facts(message: Any, facts: Iterable[Fact], now: Seconds) -> None:
--- a/src/kestreltally/knowledge/updates.py
+++ b/src/kestreltally/knowledge/updates.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LedDataCentre:
+class LeaseInfo:
     """A lease that is held or was resigned, with its fence and revision."""
 
     data_centre: str
@@ -55,8 +55,8 @@
     """
 
     leader: str
-    leads: tuple[LedDataCentre, ...]
-    resigned: tuple[LedDataCentre, ...]
+    leads: tuple[LeaseInfo, ...]
+    resigned: tuple[LeaseInfo, ...]
     leaders: Mapping[str, KnownLeader]
     store_age: Seconds
     load_wait: Seconds
@@ -121,7 +121,7 @@
         self._differences: dict[tuple[int, bool], Difference] = {}
 
     def make_update(
-        self, sent: Snapshot, *, leads: bool, whole: bool
+        self, sent: Snapshot, *, leads: bool, is_full: bool
     ) -> tuple[Any, Snapshot]:
         """Return an update for a daemon, and the snapshot that it then has.
 
@@ -142,28 +142,28 @@
         if not state.leads:
             return update, sent
         update.secret = state.secret
-        now = self._for_leaders if leads else self._for_followers
-        difference = self._get_difference(sent, now, leads=leads)
-        update.whole = whole
+        current = self._for_leaders if leads else self._for_followers
+        difference = self._get_difference(sent, current, leads=leads)
+        update.whole = is_full
         update.rows = difference.rows
         update.changes = difference.changes
         update.gone = difference.removed
         update.versions = difference.versions
-        return update, now
+        return update, current
 
     def _get_difference(
-        self, sent: Snapshot, now: Snapshot, *, leads: bool
+        self, sent: Snapshot, current: Snapshot, *, leads: bool
     ) -> Difference:
-        name = (id(sent), leads)
-        found = self._differences.get(name)
+        cache_key = (id(sent), leads)
+        found = self._differences.get(cache_key)
         if found is None:
-            found = self._differences[name] = self._compare(sent, now)
+            found = self._differences[cache_key] = self._compare(sent, current)
         return found
 
-    def _compare(self, sent: Snapshot, now: Snapshot) -> Difference:
+    def _compare(self, sent: Snapshot, current: Snapshot) -> Difference:
         rows = []
         changes = []
-        for endpoint in now.rows.values():
+        for endpoint in current.rows.values():
             before = sent.rows.get(endpoint.id)
             if before is endpoint or before == endpoint:
                 continue
@@ -179,7 +179,7 @@
             removed=[each for each in sent.rows if each not in self._known],
             versions=[
                 encode_weights(key, number)
-                for key, number in now.versions.items()
+                for key, number in current.versions.items()
                 if sent.versions.get(key) != number
             ],
         )
@@ -235,12 +235,12 @@
     return row.data_centre, KnownLeader(row.vm, address, row.fence)
 
 
-def _encode_lease(led: LedDataCentre) -> Any:
+def _encode_lease(lease_info: LeaseInfo) -> Any:
     return LeaseRow(
-        data_centre=led.data_centre,
-        fence=led.fence,
-        revision=led.revision.number,
-        era=led.revision.era,
+        data_centre=lease_info.data_centre,
+        fence=lease_info.fence,
+        revision=lease_info.revision.number,
+        era=lease_info.revision.era,
     )
 
 
--- a/src/kestreltally/placing/credits.py
+++ b/src/kestreltally/placing/credits.py
@@ -76,11 +76,11 @@
                 outstanding[urgency] = count - covered
         return outstanding
 
-    def issue(self, endpoint: EndpointId, number: int, ends: Seconds) -> None:
+    def issue(self, endpoint: EndpointId, number: int, expires_at: Seconds) -> None:
         """Record an issued credit; it is reported with the next update."""
         self.issued[endpoint] += 1
         self.last_credit[endpoint] = number
-        self.unreported.setdefault(endpoint, []).append(ends)
+        self.unreported.setdefault(endpoint, []).append(expires_at)
 
     def pop_unreported(self) -> dict[EndpointId, list[Seconds]]:
         """Return and clear the credits to be reported."""
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True)
-class _Pool:
+class _CreditPool:
     """The credits that can be issued for one incarnation of an endpoint."""
 
     born: int
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class IssueParameters:
     """The terms under which credits are issued for a limit.
 
     ``rate`` is credits per second, ``depth`` how many can be issued at once, and
@@ -110,17 +110,19 @@
     min_level: float
 
 
-def compute_leased_terms(rate: float) -> Terms:
+def compute_leased_parameters(rate: float) -> IssueParameters:
     """Return the terms of the lease holder for a limit."""
-    return Terms(
+    return IssueParameters(
         rate=compute_issue_rate(rate), depth=compute_depth(rate), min_level=0.0
     )
 
 
-def compute_unleased_terms(rate: float, reachable: int, daemons: int) -> Terms:
+def compute_unleased_parameters(
+    rate: float, reachable: int, daemons: int
+) -> IssueParameters:
     """Return the terms of an issuer that reaches some daemons and holds no lease."""
     share = reachable / max(1, reachable, daemons)
-    return Terms(
+    return IssueParameters(
         rate=ISOLATED_FRACTION * rate * share,
         depth=UNLEASED_DEPTH,
         min_level=UNLEASED_MIN_LEVEL,
@@ -163,42 +165,56 @@
         self._list_credit_holders = list_credit_holders
         self._use_local = use_local
         self._clock = clock
-        self._pools: dict[EndpointId, _Pool] = {}
-        self._number = 0
+        self._pools: dict[EndpointId, _CreditPool] = {}
+        self._sequence = 0
 
     def issue(
-        self, endpoint: EndpointId, born: int, limit: RateLimitState, terms: Terms
+        self,
+        endpoint: EndpointId,
+        born: int,
+        limit: RateLimitState,
+        parameters: IssueParameters,
     ) -> Seconds | None:
         """Issue what can be issued now; return the delay until a recheck, or None."""
         now = self._clock()
         pool = self._get_pool(endpoint, born, now)
-        level = pool.bucket.refill(terms.rate, terms.depth, now)
-        if level <= terms.min_level:
+        level = pool.bucket.refill(parameters.rate, parameters.depth, now)
+        if level <= parameters.min_level:
             # The next holder is chosen only once there is a credit to issue.
             if now - pool.estimated_at >= ESTIMATE_INTERVAL:
-                self._update_wait(endpoint, pool, limit, terms)
-            return MIN_RECHECK_DELAY + (terms.min_level - level) / terms.rate
-        lacking = self._issue_from(endpoint, pool.bucket, terms, now)
-        self._update_wait(endpoint, pool, limit, terms)
-        return None if lacking is None else MIN_RECHECK_DELAY + lacking / terms.rate
+                self._update_wait(endpoint, pool, limit, parameters)
+            return MIN_RECHECK_DELAY + (parameters.min_level - level) / parameters.rate
+        shortfall = self._issue_from(endpoint, pool.bucket, parameters, now)
+        self._update_wait(endpoint, pool, limit, parameters)
+        return (
+            None
+            if shortfall is None
+            else MIN_RECHECK_DELAY + shortfall / parameters.rate
+        )
 
-    def _get_pool(self, endpoint: EndpointId, born: int, now: Seconds) -> _Pool:
+    def _get_pool(self, endpoint: EndpointId, born: int, now: Seconds) -> _CreditPool:
         pool = self._pools.get(endpoint)
         if pool is None or pool.born != born:
             # The pool starts empty: another leader may just have issued the credits.
-            pool = self._pools[endpoint] = _Pool(born, Bucket(now, 0.0))
+            pool = self._pools[endpoint] = _CreditPool(born, Bucket(now, 0.0))
         return pool
 
     def _issue_from(
-        self, endpoint: EndpointId, bucket: Bucket, terms: Terms, now: Seconds
+        self,
+        endpoint: EndpointId,
+        bucket: Bucket,
+        parameters: IssueParameters,
+        now: Seconds,
     ) -> float | None:
         """Issue the credits in a bucket; return what lacks for the next, if any."""
-        while (next_up := self._choose_next(endpoint)) is not None:
-            urgency, holder = next_up
+        while (chosen := self._choose_next(endpoint)) is not None:
+            urgency, holder = chosen
             # Prefetching leaves a reserve for requests that will wait.
             prefetch = urgency >= PREFETCH_URGENCY
             reserve = (
-                max(terms.min_level, terms.depth - 1) if prefetch else terms.min_level
+                max(parameters.min_level, parameters.depth - 1)
+                if prefetch
+                else parameters.min_level
             )
             if bucket.level <= reserve:
                 return reserve - bucket.level
@@ -207,7 +223,11 @@
         return None
 
     def _update_wait(
-        self, endpoint: EndpointId, pool: _Pool, limit: RateLimitState, terms: Terms
+        self,
+        endpoint: EndpointId,
+        pool: _CreditPool,
+        limit: RateLimitState,
+        parameters: IssueParameters,
     ) -> None:
         """Estimate how long one more call waits for a credit, behind those waiting."""
         pool.estimated_at = self._clock()
@@ -215,13 +235,13 @@
         waiting = sum(
             n for urgency, n in outstanding.items() if urgency < PREFETCH_URGENCY
         )
-        limit.wait = (1 + waiting) / terms.rate if waiting else 0.0
+        limit.wait = (1 + waiting) / parameters.rate if waiting else 0.0
 
-    def hand_over(self, endpoint: EndpointId, ends: list[Seconds]) -> None:
+    def hand_over(self, endpoint: EndpointId, expiry_times: list[Seconds]) -> None:
         """Hand over credits issued by another leader; keep those nobody requests."""
-        for each in ends:
-            next_up = self._choose_next(endpoint)
-            self._assign(endpoint, next_up[1] if next_up else self._local_holder, each)
+        for each in expiry_times:
+            chosen = self._choose_next(endpoint)
+            self._assign(endpoint, chosen[1] if chosen else self._local_holder, each)
 
     def retain_pools(self, endpoints: Iterable[EndpointId]) -> None:
         """Remove all pools except those of the given endpoints."""
@@ -239,14 +259,14 @@
         return None if first is None else (first[0], first[3])
 
     def _assign(
-        self, endpoint: EndpointId, holder: CreditHolder, ends: Seconds
+        self, endpoint: EndpointId, holder: CreditHolder, expires_at: Seconds
     ) -> None:
-        self._number += 1
+        self._sequence += 1
         if holder is self._local_holder:
-            self._local_holder.last_credit[endpoint] = self._number
-            self._use_local(endpoint, ends)
+            self._local_holder.last_credit[endpoint] = self._sequence
+            self._use_local(endpoint, expires_at)
         else:
-            holder.issue(endpoint, self._number, ends)
+            holder.issue(endpoint, self._sequence, expires_at)
 
     def sum_outstanding(self, endpoint: EndpointId) -> CreditDemand:
         """Return the outstanding credits of all holders at an endpoint."""
--- a/src/kestreltally/placing/demand.py
+++ b/src/kestreltally/placing/demand.py
@@ -97,7 +97,7 @@
         reported = self._list_current(now)
         return WaitingTotal(
             count=sum(each.waiting for each in reported),
-            within_objective=sum(each.timely for each in reported),
+            within_objective=sum(each.within_objective for each in reported),
             prompt_tokens=sum(each.prompt_tokens for each in reported),
         )
 
--- a/src/kestreltally/placing/endpointhealth.py
+++ b/src/kestreltally/placing/endpointhealth.py
@@ -55,7 +55,7 @@
         """Record outcomes of requests at an endpoint."""
         row = self._rows.setdefault(outcome.endpoint, EndpointHealth(now))
         row.decay(now)
-        row.succeeded += outcome.whole
+        row.succeeded += outcome.completed
         row.failed += outcome.failed
 
     def is_quarantined(self, endpoint: EndpointId, now: Seconds) -> bool:
--- a/src/kestreltally/placing/enginestate.py
+++ b/src/kestreltally/placing/enginestate.py
@@ -47,8 +47,8 @@
     endpoint: Endpoint
     weights: dict[WeightsKey, int] = field(default_factory=dict)
     held_since: dict[WeightsKey, Seconds] = field(default_factory=dict)
-    incoming: dict[WeightsKey, PendingLoad] = field(default_factory=dict)
-    unloading: dict[WeightsKey, PendingUnload] = field(default_factory=dict)
+    pending_loads: dict[WeightsKey, PendingLoad] = field(default_factory=dict)
+    pending_unloads: dict[WeightsKey, PendingUnload] = field(default_factory=dict)
     sequence: int | None = None
     busy: bool = False
     failing_until: Seconds = 0.0
@@ -76,15 +76,15 @@
         self.sequence = report.sequence
         self.weights = dict(report.weights)
         loading = {
-            key: self.incoming.get(key, PendingLoad(report.sequence, now))
+            key: self.pending_loads.get(key, PendingLoad(report.sequence, now))
             for key in report.loading
         }
         # Reports list adapters that are loading, but not a loading base model.
-        for key, load in self.incoming.items():
+        for key, load in self.pending_loads.items():
             if not key.adapter and key not in report.weights:
                 loading[key] = load
-        self.incoming = loading
-        self._prune_unloading(report, now)
+        self.pending_loads = loading
+        self._prune_pending_unloads(report, now)
         self.held_since = {k: self.held_since.get(k, now) for k in report.weights}
 
     def start_incarnation(self, born: int) -> None:
@@ -92,15 +92,15 @@
         self.endpoint = replace(self.endpoint, born=born, weights={})
         self.weights = {}
         self.held_since = {}
-        self.incoming = {}
-        self.unloading = {}
+        self.pending_loads = {}
+        self.pending_unloads = {}
         self.sequence = None
 
-    def _prune_unloading(self, report: EngineReport, now: Seconds) -> None:
+    def _prune_pending_unloads(self, report: EngineReport, now: Seconds) -> None:
         """Drop pending unloads that are done, were not accepted or have timed out."""
-        self.unloading = {
+        self.pending_unloads = {
             key: unload
-            for key, unload in self.unloading.items()
+            for key, unload in self.pending_unloads.items()
             if key in report.weights
             and report.sequence >= unload.sequence
             and now - unload.ordered_at < UNLOAD_TIMEOUT
@@ -108,17 +108,17 @@
 
     def start_unload(self, key: WeightsKey, now: Seconds) -> None:
         """Record that an adapter is being evicted: it gets no more requests."""
-        self.unloading[key] = PendingUnload((self.sequence or 0) + 1, now)
+        self.pending_unloads[key] = PendingUnload((self.sequence or 0) + 1, now)
 
     def _confirm_loads(self, report: EngineReport, now: Seconds) -> None:
-        for key, load in list(self.incoming.items()):
-            held = report.weights.get(key)
-            if held is not None and report.sequence >= load.sequence:
-                self.record_loaded(key, held, now)
+        for key, load in list(self.pending_loads.items()):
+            version = report.weights.get(key)
+            if version is not None and report.sequence >= load.sequence:
+                self.record_loaded(key, version, now)
 
     def record_loaded(self, key: WeightsKey, version: int, now: Seconds) -> None:
         """Record that a load has succeeded."""
-        self.incoming.pop(key, None)
+        self.pending_loads.pop(key, None)
         self.weights[key] = version
         self.held_since[key] = now
 
@@ -126,13 +126,13 @@
         """Record that an engine has confirmed an unload."""
         self.weights.pop(key, None)
         self.held_since.pop(key, None)
-        self.unloading.pop(key, None)
+        self.pending_unloads.pop(key, None)
 
     def count_occupied(self) -> int:
         """Return how many adapter places are, or may be, occupied."""
         held = {key for key in self.weights if key.adapter}
-        loading = {key for key in self.incoming if key.adapter}
-        return len(held | loading | self.unloading.keys())
+        loading = {key for key in self.pending_loads if key.adapter}
+        return len(held | loading | self.pending_unloads.keys())
 
     def count_free(self, spec: EngineSpec) -> int:
         """Return how many adapter places are known to be free."""
@@ -152,7 +152,7 @@
         """Return whether the engine holds any base model."""
         return any(not key.adapter for key in self.weights)
 
-    def make_row(self) -> Endpoint:
+    def make_endpoint(self) -> Endpoint:
         """Return the engine's entry for the other daemons.
 
         An engine that does not answer is shown without weights, so that these are
@@ -166,11 +166,11 @@
                 quarantined=self.quarantined,
             )
         # Requests for weights that are being replaced are refused until the load ends.
-        unavailable = self.unloading.keys() | self.incoming.keys()
+        unavailable = self.pending_unloads.keys() | self.pending_loads.keys()
         usable = {k: v for k, v in self.weights.items() if k not in unavailable}
         return replace(
             self.endpoint,
             weights=usable,
-            loading=frozenset(self.incoming),
+            loading=frozenset(self.pending_loads),
             quarantined=self.quarantined,
         )
--- a/src/kestreltally/placing/handover.py
+++ b/src/kestreltally/placing/handover.py
@@ -21,11 +21,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Forwarded:
+class ForwardedLoad:
     """Weights that another leader is asked to load, with the deadline."""
 
-    to: str
-    until: Seconds
+    target: str
+    deadline: Seconds
 
 
 class Handover:
@@ -40,7 +40,7 @@
         self._fleet = fleet
         self._demand = demand
         self._copy_sources: dict[DemandKey, str] = {}
-        self._forwarded: dict[DemandKey, Forwarded] = {}
+        self._forwarded: dict[DemandKey, ForwardedLoad] = {}
         self.can_load_quickly: Callable[[str], bool] = lambda _: False
         self.get_free_capacity: Callable[[], Mapping[str, int]] = dict
         self.expedite: Callable[[str], None] = lambda _: None
@@ -56,10 +56,14 @@
             for demand_key, source in self._copy_sources.items()
             if source == data_centre
         ]
-        forwarded = [a for a, each in self._forwarded.items() if each.to == data_centre]
+        forwarded = [
+            demand_key
+            for demand_key, each in self._forwarded.items()
+            if each.target == data_centre
+        ]
         return [*from_copies, *forwarded]
 
-    def renew(self, led_data_centres: set[str], now: Seconds) -> None:
+    def update_requests(self, led_data_centres: set[str], now: Seconds) -> None:
         """Update the requests: renew missing ones, drop expired and loaded ones."""
         previous, self._copy_sources = self._copy_sources, {}
         for demand_key, row in self._demand.waiting.items():
@@ -76,7 +80,7 @@
             if previous.get(demand_key) != source:
                 self.expedite(source)
         for demand_key, forwarded in list(self._forwarded.items()):
-            if forwarded.until <= now or self._fleet.is_held(*demand_key, now):
+            if forwarded.deadline <= now or self._fleet.is_held(*demand_key, now):
                 del self._forwarded[demand_key]
 
     def _choose_copy_source(
@@ -104,8 +108,8 @@
         """Ask leaders with free capacity to load adapters; return for how many."""
         free_capacity = dict(self.get_free_capacity())
         for forwarded in self._forwarded.values():
-            if forwarded.to in free_capacity:
-                free_capacity[forwarded.to] -= 1
+            if forwarded.target in free_capacity:
+                free_capacity[forwarded.target] -= 1
         count = 0
         for demand_key in unplaced:
             target = max(
@@ -118,7 +122,7 @@
             ):
                 continue
             free_capacity[target] -= 1
-            self._forwarded[demand_key] = Forwarded(target, now + FORWARD_TIMEOUT)
+            self._forwarded[demand_key] = ForwardedLoad(target, now + FORWARD_TIMEOUT)
             self.expedite(target)
             count += 1
         return count
--- a/src/kestreltally/placing/leader.py
+++ b/src/kestreltally/placing/leader.py
@@ -50,8 +50,8 @@
 MIN_TICK: Final[Seconds] = 0.01
 # Limit of concurrent adapter loads per engine. One of the four is reserved for adapters
 # of which the engine keeps a copy: these load in about 25 ms.
-MAX_INCOMING: Final = 4
-MAX_INCOMING_COLD: Final = 3
+MAX_PENDING_LOADS: Final = 4
+MAX_PENDING_COLD_LOADS: Final = 3
 REPORT_INTERVAL: Final[Seconds] = 0.1
 # If an engine's own listing of its weights differs from the leader's state, a report is
 # read once the last order is older than this: two heartbeats.
@@ -134,19 +134,25 @@
             state.weights = dict(endpoint.weights)
         state.endpoint = endpoint
         self._check_listing(state)
-        self._publish(state.make_row())
+        self._publish(state.make_endpoint())
 
     def _check_listing(self, state: EngineState) -> None:
         """Require a report if the engine's own listing differs from the known state."""
         now = self._clock()
-        settled = now - state.ordered_at > LISTING_CHECK_DELAY and not state.incoming
+        settled = (
+            now - state.ordered_at > LISTING_CHECK_DELAY and not state.pending_loads
+        )
         if settled and state.endpoint.weights.keys() != state.weights.keys():
             state.require_report(now)
 
     def record_refused(self, endpoint: EndpointId, key: WeightsKey) -> None:
         """Record that an engine refused a request because it lacks the weights."""
         state = self.engines.get(endpoint)
-        if state is not None and key in state.weights and key not in state.incoming:
+        if (
+            state is not None
+            and key in state.weights
+            and key not in state.pending_loads
+        ):
             log_decision(
                 LOG, Decision.ENGINE_LACKS_WEIGHTS, endpoint=endpoint, weights=str(key)
             )
@@ -157,7 +163,7 @@
         state = self.engines.get(endpoint)
         if state is not None:
             state.endpoint = self._fleet.notices.apply_to(state.endpoint)
-            self._publish(state.make_row())
+            self._publish(state.make_endpoint())
         self.wake()
 
     def drop_endpoint(self, endpoint: EndpointId) -> None:
@@ -210,7 +216,7 @@
         Places are assumed to become free at the recent rate of completed loads.
         """
         engines = max(1, len(self.engines))
-        batches = 1 + self.missing / (MAX_INCOMING_COLD * engines)
+        batches = 1 + self.missing / (MAX_PENDING_COLD_LOADS * engines)
         excess = max(0, self.missing + 1 - self.available_places)
         return (
             batches * self._loader.load_time + excess / self._loader.compute_turnover()
@@ -274,7 +280,7 @@
         self.free_capacity = 0
         self.available_places = 0
         self._quarantine_unhealthy(now)
-        self.handover.renew(self._led_data_centres, now)
+        self.handover.update_requests(self._led_data_centres, now)
         for service in configuration.services.values():
             if service.engine is not None:
                 self._step_service(service.name, service.engine, now)
@@ -292,7 +298,7 @@
                     )
             if quarantined != state.quarantined:
                 state.quarantined = quarantined
-                self._publish(state.make_row())
+                self._publish(state.make_endpoint())
 
     def _can_quarantine(self, service: ServiceName) -> bool:
         """Return whether one more endpoint of a service can be quarantined."""
@@ -305,13 +311,19 @@
     def _step_service(
         self, service: ServiceName, spec: EngineSpec, now: Seconds
     ) -> None:
-        engines = [b for b in self.engines.values() if b.endpoint.service == service]
+        engines = [
+            each for each in self.engines.values() if each.endpoint.service == service
+        ]
         for state in engines:
             if not state.busy and self._needs_report(state, now):
                 self._loader.start(state, self._loader.read(state))
-        engines = [b for b in engines if self._get_lease(b.endpoint).can_order()]
-        open_engines = [
-            b for b in engines if self._accepts_adapters(b, now) and b.has_any_model
+        engines = [
+            each for each in engines if self._get_lease(each.endpoint).can_order()
+        ]
+        accepting_engines = [
+            each
+            for each in engines
+            if self._accepts_adapters(each, now) and each.has_any_model
         ]
         limiter = self._load_limiters.setdefault(
             service, LoadLimiter(self._bounds, now)
@@ -320,10 +332,10 @@
             [lease.can_order() for lease in self._leases.values()]
         )
         limiter.refill(fraction * spec.loads_per_second, now)
-        ready = [b for b in engines if self._can_take_order(b, now)]
+        ready = [each for each in engines if self._can_take_order(each, now)]
         ready = self._order_models(ready, spec, limiter)
         ready = self._order_versions(ready, limiter)
-        self._order_adapters(service, spec, open_engines, ready, now)
+        self._order_adapters(service, spec, accepting_engines, ready, now)
 
     def _needs_report(self, state: EngineState, now: Seconds) -> bool:
         if state.endpoint.leaving or now < state.failing_until:
@@ -334,13 +346,13 @@
         since = now - state.read_at
         if state.sequence is None:
             return since >= REPORT_LAG
-        return bool(state.unloading) and since >= REPORT_INTERVAL
+        return bool(state.pending_unloads) and since >= REPORT_INTERVAL
 
     def _accepts_adapters(self, state: EngineState, now: Seconds) -> bool:
         """Return whether an engine accepts adapters, if not at this very moment."""
         return (
             state.sequence is not None
-            and all(key.adapter for key in state.incoming)
+            and all(key.adapter for key in state.pending_loads)
             and not state.endpoint.leaving
             and not state.quarantined
             and not self._fleet.notices.is_constrained(state.endpoint, now)
@@ -352,8 +364,8 @@
         return (
             self._accepts_adapters(state, now)
             and not state.busy
-            and not state.unloading
-            and len(state.incoming) < MAX_INCOMING
+            and not state.pending_unloads
+            and len(state.pending_loads) < MAX_PENDING_LOADS
         )
 
     def _order_models(
@@ -364,7 +376,7 @@
         for state in engines:
             if state.has_any_model:
                 ready.append(state)
-            elif not state.incoming and spec.models and limiter.available:
+            elif not state.pending_loads and spec.models and limiter.available:
                 model = self._choose_model(engines, spec)
                 limiter.acquire()
                 self._loader.start(state, self._loader.load(state, WeightsKey(model)))
@@ -374,7 +386,7 @@
         """Return the model held by the fewest engines."""
         counts = {each.name: 0 for each in spec.models}
         for state in engines:
-            for key in (*state.weights, *state.incoming):
+            for key in (*state.weights, *state.pending_loads):
                 if not key.adapter and key.model in counts:
                     counts[key.model] += 1
         return min(counts, key=lambda name: counts[name])
@@ -389,7 +401,9 @@
         """
         remaining = []
         model_busy = any(
-            not key.adapter for state in self.engines.values() for key in state.incoming
+            not key.adapter
+            for state in self.engines.values()
+            for key in state.pending_loads
         )
         for state in engines:
             outdated = self._list_outdated(state)
@@ -407,16 +421,16 @@
     def _list_outdated(self, state: EngineState) -> list[WeightsKey]:
         return [
             key
-            for key, held in state.weights.items()
-            if held < (self._fleet.get_newest_version(key) or 0)
-            and key not in state.incoming
+            for key, version in state.weights.items()
+            if version < (self._fleet.get_newest_version(key) or 0)
+            and key not in state.pending_loads
         ]
 
     def _order_adapters(
         self,
         service: ServiceName,
         spec: EngineSpec,
-        open_engines: list[EngineState],
+        accepting_engines: list[EngineState],
         ready: list[EngineState],
         now: Seconds,
     ) -> None:
@@ -442,9 +456,9 @@
                 state,
                 frozenset(copies.get(state.endpoint.id, ())),
                 ready=state.endpoint.id in names,
-                ready_for_cold=len(state.incoming) < MAX_INCOMING_COLD,
+                ready_for_cold=len(state.pending_loads) < MAX_PENDING_COLD_LOADS,
             )
-            for state in open_engines
+            for state in accepting_engines
         ]
         for placement in self._plan(views, requested, now):
             state = self.engines[placement.engine]
--- a/src/kestreltally/placing/lease.py
+++ b/src/kestreltally/placing/lease.py
@@ -42,7 +42,7 @@
 LOG = logging.getLogger("kestreltally.lease")
 
 RENEW_INTERVAL: Final[Seconds] = 1.0
-RENEW_RETRY: Final[Seconds] = 0.2
+RENEW_RETRY_DELAY: Final[Seconds] = 0.2
 # Longer than the usual outages of the store (3 to 5 s in simulations), during which
 # nobody could take over. After the loss of a holder its successor waits longer by as
 # much, but leaders of other data centres load adapters in that time, and a restart on
@@ -113,7 +113,7 @@
         self.observed: ObservedRevision | None = None
         self._absence: Absence | None = None
         self._valid_until: Seconds = float("-inf")
-        self._orders_from: Seconds = float("inf")
+        self._orders_allowed_from: Seconds = float("inf")
         self._renewed_at: Seconds = float("-inf")
         # When the last failed renewal was sent, and since when other daemons have had
         # answers while this holder has not.
@@ -137,12 +137,12 @@
 
     def is_sole_holder(self) -> bool:
         """Return whether the lease is held and no former holder's validity remains."""
-        last = self._orders_from - self._holder_gap - MAX_ORDER_TRANSIT
+        last = self._orders_allowed_from - self._holder_gap - MAX_ORDER_TRANSIT
         return self.is_valid() and last <= self._clock()
 
     def can_order(self) -> bool:
         """Return whether an order can be sent at this moment."""
-        return self.is_valid() and self._orders_from <= self._clock()
+        return self.is_valid() and self._orders_allowed_from <= self._clock()
 
     def compute_order_wait(self) -> Seconds | None:
         """Return the time until orders are allowed; None if unknown.
@@ -154,7 +154,7 @@
 
     def _compute_order_wait(self) -> Seconds:
         """Return how long this holder still has to wait for a former holder."""
-        return max(0.0, self._orders_from - self._clock())
+        return max(0.0, self._orders_allowed_from - self._clock())
 
     def record_revision(self, revision: Revision) -> None:
         """Record a revision of the lease that the leader's feed names."""
@@ -190,7 +190,7 @@
                     lease=self.data_centre,
                     reason=str(error),
                 )
-                await asyncio.sleep(RENEW_RETRY)
+                await asyncio.sleep(RENEW_RETRY_DELAY)
 
     async def _renew(self) -> None:
         record, observed = self.record, self.observed
@@ -211,7 +211,7 @@
                 await self._continue_in_era()
             else:
                 self._resolve_conflict(conflict, updated)
-                await asyncio.sleep(RENEW_RETRY)
+                await asyncio.sleep(RENEW_RETRY_DELAY)
             return
         if self.leads:
             self._record_written(stored, updated, sent_at)
@@ -236,7 +236,7 @@
                 written = await self._write(stored.revision, updated)
         except Conflict:
             # Retried, as it may be this daemon's own write whose answer was lost.
-            await asyncio.sleep(RENEW_RETRY)
+            await asyncio.sleep(RENEW_RETRY_DELAY)
             return
         if self.leads:
             self._record_written(written, updated, sent_at)
@@ -290,7 +290,7 @@
     def _stop_leading(self) -> None:
         self.leads = False
         self._valid_until = float("-inf")
-        self._orders_from = float("inf")
+        self._orders_allowed_from = float("inf")
 
     @property
     def renewed_at(self) -> Seconds:
@@ -378,11 +378,13 @@
 
     async def _create(self, absence: Absence) -> None:
         sent_at = self._clock()
-        start = sent_at
+        orders_allowed_from = sent_at
         if absence.era > FIRST_ERA or self._store.restored_at > NEVER:
             # There may have been a holder whose record is lost.
-            start = self._compute_start_after(absence.since + VALIDITY)
-        quiet = max(0.0, start - sent_at)
+            orders_allowed_from = self._compute_orders_allowed_after(
+                absence.since + VALIDITY
+            )
+        quiet = max(0.0, orders_allowed_from - sent_at)
         record = self._make_record(self._next_fence(), quiet)
         try:
             stored = await self._store.create(
@@ -391,11 +393,11 @@
         except Conflict:
             return
         self._record_written(stored, record, sent_at)
-        self._start_leading(start)
+        self._start_leading(orders_allowed_from)
 
     async def _take_over(self, former: LeaseRecord, observed: ObservedRevision) -> None:
         sent_at = self._clock()
-        start = self._compute_start(former, observed, sent_at)
+        start = self._compute_orders_allowed_from(former, observed, sent_at)
         record = self._make_record(
             self._next_fence(former.fence), quiet=max(0.0, start - sent_at)
         )
@@ -406,12 +408,12 @@
         self._record_written(stored, record, sent_at)
         self._start_leading(start)
 
-    def _compute_start(
+    def _compute_orders_allowed_from(
         self, former: LeaseRecord, observed: ObservedRevision, now: Seconds
     ) -> Seconds:
         """Return the time from which orders are separated from a former holder's."""
         if self._is_outdated(former):
-            return self._compute_start_after(observed.since + VALIDITY)
+            return self._compute_orders_allowed_after(observed.since + VALIDITY)
         if former.holder == self._vm:
             # The same VM is the same holder: only its own remaining wait applies.
             return now + former.quiet
@@ -419,15 +421,15 @@
         resigned_at = self._resigned_at.get(former.fence)
         if resigned_at is not None:
             last = min(last, resigned_at)
-        return self._compute_start_after(last)
+        return self._compute_orders_allowed_after(last)
 
-    def _compute_start_after(self, last: Seconds) -> Seconds:
+    def _compute_orders_allowed_after(self, last: Seconds) -> Seconds:
         """Return the time from which orders are separated from one sent at ``last``."""
         return last + MAX_ORDER_TRANSIT + self._holder_gap
 
-    def _start_leading(self, start: Seconds) -> None:
+    def _start_leading(self, orders_allowed_from: Seconds) -> None:
         self.leads = True
-        self._orders_from = start
+        self._orders_allowed_from = orders_allowed_from
         self._resigned_at.clear()
         self._acquired.set()
         self.record_start()
@@ -436,7 +438,7 @@
             Decision.LEASE_HELD,
             lease=self.data_centre,
             fence=self.fence,
-            orders_in=round(start - self._clock(), 3),
+            orders_in=round(orders_allowed_from - self._clock(), 3),
         )
 
     def _make_record(self, fence: int, quiet: Seconds) -> LeaseRecord:
--- a/src/kestreltally/placing/loads.py
+++ b/src/kestreltally/placing/loads.py
@@ -38,9 +38,9 @@
 # A load is first polled after this fraction of the shortest recent load time, then at
 # this interval, and less often the longer it takes. With the mean instead, quick loads
 # after slow ones would be detected as late as the slow ones for many loads.
-ASK_FRACTION: Final = 0.85
+FIRST_POLL_FRACTION: Final = 0.85
 ASK_INTERVAL: Final[Seconds] = 0.025
-ASK_BACKOFF_FRACTION: Final = 0.1
+POLL_BACKOFF_FRACTION: Final = 0.1
 RECENT_LOADS: Final = 8
 # A load whose end is not detected within this time is considered failed.
 LOAD_TIMEOUT: Final[Seconds] = 4.0
@@ -140,13 +140,13 @@
 
     async def load(self, state: EngineState, key: WeightsKey) -> None:
         """Order a load; a separate task waits for its end."""
-        age = self._fleet.copies.measure_age(state.endpoint.id, key)
+        evictions_ago = self._fleet.copies.measure_age(state.endpoint.id, key)
         outcome = await self._client.order(state, OrderKind.LOAD, key)
         self.publish(state)
         if outcome is OrderOutcome.DONE:
             self._end_load(state, key)
         elif outcome is OrderOutcome.IN_FLIGHT:
-            self._spawn(self._await_load(state, key, age))
+            self._spawn(self._await_load(state, key, evictions_ago))
 
     def _end_load(self, state: EngineState, key: WeightsKey) -> None:
         self._ended_at.append(self._clock())
@@ -157,21 +157,21 @@
     def publish(self, state: EngineState) -> None:
         """Publish an engine's state, unless this daemon no longer leads the engine."""
         if self._is_led(state):
-            self._publish(state.make_row())
+            self._publish(state.make_endpoint())
 
     async def _await_load(
-        self, state: EngineState, key: WeightsKey, age: int | None
+        self, state: EngineState, key: WeightsKey, evictions_ago: int | None
     ) -> None:
         """Poll a load until it has ended.
 
-        ``age`` is how many evictions ago the engine held the adapter, if recently.
+        ``evictions_ago`` is how many evictions ago the engine held the adapter, if recently.
         """
         started_at = self._clock()
-        fast = self._fleet.copies.is_retained(age)
+        fast = self._fleet.copies.is_retained(evictions_ago)
         await asyncio.sleep(
-            WARM_LOAD_TIME if fast else ASK_FRACTION * min(self._recent_loads)
+            WARM_LOAD_TIME if fast else FIRST_POLL_FRACTION * min(self._recent_loads)
         )
-        while key in state.incoming and self._clock() - started_at < LOAD_TIMEOUT:
+        while key in state.pending_loads and self._clock() - started_at < LOAD_TIMEOUT:
             if not self._is_led(state):
                 return
             if state.sequence is not None:
@@ -181,31 +181,37 @@
                     state.require_report(self._clock())
                     outcome = OrderOutcome.UNKNOWN
                 if outcome is OrderOutcome.DONE:
-                    self._record_load_time(self._clock() - started_at, age)
-                    self._record_origin(state, key, self._clock() - started_at, age)
+                    self._record_load_time(self._clock() - started_at, evictions_ago)
+                    self._record_origin(
+                        state, key, self._clock() - started_at, evictions_ago
+                    )
                     self._end_load(state, key)
                     return
             elapsed = self._clock() - started_at
-            await asyncio.sleep(max(ASK_INTERVAL, ASK_BACKOFF_FRACTION * elapsed))
-        if state.incoming.pop(key, None) is not None:
+            await asyncio.sleep(max(ASK_INTERVAL, POLL_BACKOFF_FRACTION * elapsed))
+        if state.pending_loads.pop(key, None) is not None:
             log_decision(LOG, Decision.LOAD_NOT_SEEN_TO_END, weights=str(key))
             state.require_report(self._clock())
 
-    def _record_load_time(self, took: Seconds, age: int | None) -> None:
+    def _record_load_time(self, took: Seconds, evictions_ago: int | None) -> None:
         fast = took < QUICK_FRACTION * min(self._recent_loads)
-        if age is not None and took < OUTLIER_FACTOR * self.load_time:
-            self._fleet.copies.record_load(age, fast=fast)
+        if evictions_ago is not None and took < OUTLIER_FACTOR * self.load_time:
+            self._fleet.copies.record_load(evictions_ago, fast=fast)
         if not fast:
             self._recent_loads.append(took)
             self.load_time += LOAD_TIME_WEIGHT * (took - self.load_time)
 
     def _record_origin(
-        self, state: EngineState, key: WeightsKey, took: Seconds, age: int | None
+        self,
+        state: EngineState,
+        key: WeightsKey,
+        took: Seconds,
+        evictions_ago: int | None,
     ) -> None:
         """Count the origin of an adapter."""
         if took < QUICK_FRACTION * min(self._recent_loads):
             origin = LoadOrigin.COPY
-        elif self._fleet.copies.is_retained(age):
+        elif self._fleet.copies.is_retained(evictions_ago):
             origin = LoadOrigin.COPY_GONE
         elif self._fleet.list_copies(state.endpoint.service, key):
             origin = LoadOrigin.COPY_ELSEWHERE
@@ -225,7 +231,7 @@
         victim = placement.victim
         if victim is not None:
             state.start_unload(victim, self._clock())
-            self._publish(state.make_row())
+            self._publish(state.make_endpoint())
             outcome = await self._client.order(state, OrderKind.UNLOAD, victim)
             if outcome is not OrderOutcome.DONE:
                 # The unload waits for its runs, or the state was wrong: the next report
--- a/src/kestreltally/placing/orders.py
+++ b/src/kestreltally/placing/orders.py
@@ -176,9 +176,9 @@
             state.sequence = order.sequence + 1
             if outcome is OrderOutcome.DONE:
                 state.record_unloaded(key)
-        elif outcome is OrderOutcome.IN_FLIGHT and key not in state.incoming:
+        elif outcome is OrderOutcome.IN_FLIGHT and key not in state.pending_loads:
             state.sequence = order.sequence + 1
-            state.incoming[key] = PendingLoad(state.sequence, now)
+            state.pending_loads[key] = PendingLoad(state.sequence, now)
 
     async def _call(
         self,
--- a/src/kestreltally/placing/planner.py
+++ b/src/kestreltally/placing/planner.py
@@ -22,7 +22,7 @@
 VICTIM_FACTOR: Final = 1.5
 # An adapter stays loaded at least this long, even once the requests that waited for it
 # are served: an adapter evicted sooner is requested again.
-MIN_STAY: Final[Seconds] = 1.0
+MIN_RESIDENCE_TIME: Final[Seconds] = 1.0
 # The saving per request served in its own data centre, as a fraction of a request's
 # cost: the cost of its traffic between data centres.
 LOCAL_GAIN: Final = 0.12
@@ -33,9 +33,9 @@
 BATCH_SLOT_RATE: Final = 0.44
 # The score of a replica per request per second if all engines that hold the adapter
 # have full batches: requests there wait for others to end.
-CROWDED_SCORE: Final = 2.0
+SATURATED_SCORE: Final = 2.0
 # An adapter requested less often than this does not cause its engines' full batches.
-MIN_CROWDED_RATE: Final = 0.5
+MIN_SATURATED_RATE: Final = 0.5
 # A load from an engine's own copy saves a load from the weight store, which costs about
 # a third of a request.
 WARM_GAIN: Final[Seconds] = 0.5
@@ -43,12 +43,12 @@
 # 100 ms; a load from the store takes longer. So the adapter is held back for it, at
 # most as long as such a load takes.
 BUSY_DELAY: Final[Seconds] = 0.1
-HOLD_DURATION: Final[Seconds] = 0.25
+MAX_COPY_WAIT: Final[Seconds] = 0.25
 # The cost of an eviction per unit of the victim's score: the victim will be requested
 # again, with a load for each request per second.
 VICTIM_COST_TIME: Final[Seconds] = 0.5
 # Adapters without waiting requests and at most this rate are not planned for.
-MIN_RATE: Final = min(MIN_REPLICA_RATE, MIN_CROWDED_RATE)
+MIN_RATE: Final = min(MIN_REPLICA_RATE, MIN_SATURATED_RATE)
 # Replicas are loaded a few at a time, after adapters that no engine holds.
 MAX_REPLICAS_PER_ROUND: Final = 2
 
@@ -97,7 +97,7 @@
     """A requested adapter.
 
     Of the requests ``waiting``, ``within_objective`` can still meet their objective.
-    ``holders`` and ``loading`` count engines by data centre; ``crowded`` means that the
+    ``holders`` and ``loading`` count engines by data centre; ``saturated`` means that the
     batches of all holders are full. ``batch`` is the batch size of one engine;
     ``waited`` is how long the first request has waited. ``leaving`` means that a
     leaving engine holds the adapter: at a high rate, it is loaded elsewhere before any
@@ -111,7 +111,7 @@
     holders: dict[str, int]
     loading: dict[str, int]
     batch: int = 32
-    crowded: bool = False
+    saturated: bool = False
     within_objective: int = 0
     waited: Seconds = 0.0
     leaving: bool = False
@@ -184,7 +184,7 @@
                 busiest,
                 score_missing(each),
                 is_replica=False,
-                can_wait=each.waited < HOLD_DURATION,
+                can_wait=each.waited < MAX_COPY_WAIT,
             )
 
 
@@ -194,12 +194,12 @@
         if not holders:
             continue
         if (
-            each.crowded
+            each.saturated
             and not each.loading
-            and sum(each.rates.values()) > MIN_CROWDED_RATE
+            and sum(each.rates.values()) > MIN_SATURATED_RATE
         ):
             busiest = max(each.rates, key=lambda dc: each.rates[dc])
-            score = CROWDED_SCORE * each.rates[busiest]
+            score = SATURATED_SCORE * each.rates[busiest]
             yield _Candidate(each.key, busiest, score, is_replica=True)
             continue
         for data_centre, rate in each.rates.items():
@@ -217,7 +217,9 @@
 def _list_evictable(engine: EngineView, now: Seconds) -> list[HeldAdapter]:
     """Return the adapters that can be evicted."""
     return [
-        each for each in engine.held if now - each.since >= MIN_STAY and not each.in_use
+        each
+        for each in engine.held
+        if now - each.since >= MIN_RESIDENCE_TIME and not each.in_use
     ]
 
 
@@ -243,7 +245,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Offer:
+class _LoadTarget:
     """An engine, the cost of its next place, and the adapter to be evicted."""
 
     engine: EngineView
@@ -275,29 +277,35 @@
 
 
 def _choose_engine(
-    candidate: _Candidate, offers: Sequence[_Offer], assigned: Container[EndpointId]
+    candidate: _Candidate,
+    load_targets: Sequence[_LoadTarget],
+    assigned: Container[EndpointId],
 ) -> Placement | None:
     """Return the load of lowest cost; None if an engine's copy is worth a short wait.
 
     Engines that are already ``assigned`` a load count as busy, like those not ready.
     """
-    best: tuple[float, bool, _Offer] | None = None
-    for offer in offers:
-        engine = offer.engine
+    best: tuple[float, bool, _LoadTarget] | None = None
+    for load_target in load_targets:
+        engine = load_target.engine
         busy = not engine.ready or engine.id in assigned
-        if offer.cost * VICTIM_FACTOR >= candidate.score:
+        if load_target.cost * VICTIM_FACTOR >= candidate.score:
             continue
         if not _can_load(candidate, engine, busy=busy):
             continue
-        cost = VICTIM_COST_TIME * offer.cost + predict_delay(engine, candidate)
+        cost = VICTIM_COST_TIME * load_target.cost + predict_delay(engine, candidate)
         if busy:
             cost += BUSY_DELAY
         if best is None or cost < best[0]:
-            best = (cost, busy, offer)
+            best = (cost, busy, load_target)
     if best is None:
         return None
-    _, busy, offer = best
-    return None if busy else Placement(offer.engine.id, candidate.key, offer.victim)
+    _, busy, load_target = best
+    return (
+        None
+        if busy
+        else Placement(load_target.engine.id, candidate.key, load_target.victim)
+    )
 
 
 @register_planner("most-missed-first")
@@ -313,10 +321,10 @@
     candidates = sorted(_list_missing(requested), key=lambda each: -each.score)
     replicas = sorted(_list_replicas(requested), key=lambda each: -each.score)
     candidates.extend(replicas[:MAX_REPLICAS_PER_ROUND])
-    offers = [_Offer(each, *_choose_victim(each, now)) for each in engines]
+    load_targets = [_LoadTarget(each, *_choose_victim(each, now)) for each in engines]
     planned: dict[EndpointId, Placement] = {}
     for candidate in candidates:
-        placement = _choose_engine(candidate, offers, planned)
+        placement = _choose_engine(candidate, load_targets, planned)
         if placement is not None:
             planned[placement.engine] = placement
     return list(planned.values())
--- a/src/kestreltally/placing/views.py
+++ b/src/kestreltally/placing/views.py
@@ -33,7 +33,7 @@
     """The distribution of adapters in the fleet: engines that hold or load them.
 
     ``holders`` and ``loading`` count engines by data centre. An adapter is
-    ``uncrowded`` if an engine with free batch slots holds it, and ``leaving`` if a
+    ``unsaturated`` if an engine with free batch slots holds it, and ``leaving`` if a
     leaving engine does.
     """
 
@@ -43,7 +43,7 @@
     loading: dict[WeightsKey, dict[str, int]] = field(
         default_factory=lambda: defaultdict(dict)
     )
-    uncrowded: set[WeightsKey] = field(default_factory=set)
+    unsaturated: set[WeightsKey] = field(default_factory=set)
     leaving: set[WeightsKey] = field(default_factory=set)
 
 
@@ -93,8 +93,8 @@
                     holders=distribution.holders.get(key, {}),
                     loading=distribution.loading.get(key, {}),
                     batch=self.spec.batch,
-                    crowded=key in distribution.holders
-                    and key not in distribution.uncrowded,
+                    saturated=key in distribution.holders
+                    and key not in distribution.unsaturated,
                     waited=self.now - row.waiting_since,
                     leaving=key in distribution.leaving,
                 )
@@ -114,7 +114,7 @@
                 counts = distribution.holders[key]
                 counts[data_centre] = counts.get(data_centre, 0) + 1
                 if in_flight < self.spec.batch:
-                    distribution.uncrowded.add(key)
+                    distribution.unsaturated.add(key)
             for key in endpoint.loading:
                 counts = distribution.loading[key]
                 counts[data_centre] = counts.get(data_centre, 0) + 1
@@ -162,7 +162,11 @@
         data_centre = state.endpoint.data_centre
         held = []
         for key in state.weights:
-            if not key.adapter or key in state.unloading or key in state.incoming:
+            if (
+                not key.adapter
+                or key in state.pending_unloads
+                or key in state.pending_loads
+            ):
                 continue
             row = self.demand.rows.get((self.service, key), no_demand)
             holders = self.fleet.list_holders(self.service, key, self.now)
@@ -180,5 +184,7 @@
 
     def _count_loading_tokens(self, state: EngineState) -> int:
         """Return the waiting prompt tokens for adapters loading on an engine."""
-        rows = (self.demand.rows.get((self.service, key)) for key in state.incoming)
+        rows = (
+            self.demand.rows.get((self.service, key)) for key in state.pending_loads
+        )
         return sum(row.sum_waiting(self.now).prompt_tokens for row in rows if row)
--- a/tests/issuersim.py
+++ b/tests/issuersim.py
@@ -23,9 +23,9 @@
     CREDIT_TTL,
     CreditHolder,
     CreditIssuer,
-    Terms,
-    compute_leased_terms,
-    compute_unleased_terms,
+    IssueParameters,
+    compute_leased_parameters,
+    compute_unleased_parameters,
 )
 from kestreltally.placing.lease import (
     RENEW_INTERVAL,
@@ -260,10 +260,10 @@
                 reachable_daemons = sum(self.groups[d] for d in (daemon, *reachable))
                 daemon.headcount.record(reachable_daemons, self.now)
 
-    def _find_terms(self, daemon: Daemon) -> Terms | None:
+    def _find_terms(self, daemon: Daemon) -> IssueParameters | None:
         holding = daemon.holdings.get(LOCAL)
         if holding is not None and holding.alone_from <= self.now < holding.valid_until:
-            return compute_leased_terms(self.limit)
+            return compute_leased_parameters(self.limit)
         group = self.groups[daemon] or 1
         if holding is not None:
             asking = (
@@ -274,7 +274,9 @@
             group += sum(asking)
         elif self.now - daemon.owner_received_at < FEED_SILENCE_TIMEOUT:
             return None
-        return compute_unleased_terms(self.limit, group, daemon.headcount.maximum or 0)
+        return compute_unleased_parameters(
+            self.limit, group, daemon.headcount.maximum or 0
+        )
 
     # Results.
 
--- a/tests/limitsim.py
+++ b/tests/limitsim.py
@@ -19,7 +19,7 @@
 from kestreltally.placing.credits import (
     CreditHolder,
     CreditIssuer,
-    compute_leased_terms,
+    compute_leased_parameters,
 )
 from kestreltally.rates import Bucket, RateMeter
 from tests.virtualtime import VirtualTime
@@ -182,7 +182,7 @@
         self.leaders = [self._make_issuer(number) for number in range(GROUPS)]
         self.owner = RateLimitState()
         self.owner.apply_reported(self.limit, 1, 0.0)
-        self.terms = compute_leased_terms(self.owner.rate)
+        self.terms = compute_leased_parameters(self.owner.rate)
         self.recheck_at = float("inf")
 
     def _make_issuer(self, number: int) -> CreditIssuer:
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -15,7 +15,7 @@
         endpoint=endpoint,
         in_flight=int(counts.get("in_flight", 0)),
         remote=remote,
-        work=PrefillWork(own_tokens=0, queued_tokens=0.0, priority=0),
+        work=PrefillWork(uncached_tokens=0, queued_tokens=0.0, priority=0),
         first_event_delay=counts.get("first_event_delay", 0.1),
     )
 
--- a/tests/test_copies.py
+++ b/tests/test_copies.py
@@ -9,7 +9,7 @@
 from kestreltally.fleet.copies import INITIAL_DEPTH, MAX_ROWS, CopyTable
 from kestreltally.fleet.model import EndpointId, WeightsKey
 from kestreltally.placing.planner import (
-    HOLD_DURATION,
+    MAX_COPY_WAIT,
     EngineView,
     RequestedAdapter,
     plan_most_missed_first,
@@ -107,7 +107,7 @@
     kept = keep_copy(replace(make_view("e1", "north"), ready=False), 7)
     engines = [make_view("e2", "north"), kept]
     assert plan(engines, make_requested("a7", 1)) == []
-    waited = replace(make_requested("a7", 1), waited=HOLD_DURATION)
+    waited = replace(make_requested("a7", 1), waited=MAX_COPY_WAIT)
     assert plan(engines, waited) == [("e2", "a7")]
 
 
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -21,9 +21,9 @@
 
 
 def make_work(
-    own_tokens: int = LONG, queued_tokens: float = 0.0, priority: int = 1
+    uncached_tokens: int = LONG, queued_tokens: float = 0.0, priority: int = 1
 ) -> PrefillWork:
-    return PrefillWork(own_tokens, queued_tokens, priority)
+    return PrefillWork(uncached_tokens, queued_tokens, priority)
 
 
 def teach(
@@ -62,7 +62,9 @@
         queued_tokens = 20_000.0
         table.learn(
             FAST,
-            make_work(own_tokens=100, queued_tokens=queued_tokens, priority=URGENT),
+            make_work(
+                uncached_tokens=100, queued_tokens=queued_tokens, priority=URGENT
+            ),
             table.base_latency + token_time * (100 + 0.25 * queued_tokens),
         )
         table.learn(
@@ -81,10 +83,10 @@
     st.floats(0.0, 60.0),
 )
 def test_one_outlier_moves_estimates_within_their_bounds_only(
-    own_tokens: int, queued_tokens: float, priority: int, took: float
+    uncached_tokens: int, queued_tokens: float, priority: int, took: float
 ) -> None:
     table = PrefillTimeTable()
-    table.learn(FAST, PrefillWork(own_tokens, queued_tokens, priority), took)
+    table.learn(FAST, PrefillWork(uncached_tokens, queued_tokens, priority), took)
     assert (
         INITIAL_TOKEN_TIME / MAX_STEP_FACTOR
         <= table.compute_token_time(FAST)
@@ -96,16 +98,20 @@
 
 @given(st.integers(0, 50_000), st.floats(0.0, 200_000.0), st.integers(0, 50_000))
 def test_prediction_does_not_decrease_with_more_tokens(
-    own_tokens: int, queued_tokens: float, more: int
+    uncached_tokens: int, queued_tokens: float, more: int
 ) -> None:
     table = PrefillTimeTable()
-    first = table.predict(FAST, PrefillWork(own_tokens, queued_tokens, NOT_URGENT))
+    first = table.predict(FAST, PrefillWork(uncached_tokens, queued_tokens, NOT_URGENT))
     assert (
-        table.predict(FAST, PrefillWork(own_tokens + more, queued_tokens, NOT_URGENT))
+        table.predict(
+            FAST, PrefillWork(uncached_tokens + more, queued_tokens, NOT_URGENT)
+        )
         >= first
     )
     assert (
-        table.predict(FAST, PrefillWork(own_tokens, queued_tokens + more, NOT_URGENT))
+        table.predict(
+            FAST, PrefillWork(uncached_tokens, queued_tokens + more, NOT_URGENT)
+        )
         >= first
     )
 
@@ -119,4 +125,4 @@
     health = HealthTable()
     health.start(FAST, 1.0, LONG, prefill_delay=0.2, prefill_duration=0.3)
     assert health.measure(now).unread[FAST] == pytest.approx(left, abs=1)
-    assert health.measure_one(FAST, now)[1] == pytest.approx(left, abs=1)
+    assert health.measure_endpoint(FAST, now)[1] == pytest.approx(left, abs=1)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -73,9 +73,9 @@
     rig = HandoverRig({"south": 1})
     rig.wait(KEY_1)
     rig.forward(KEY_1)
-    rig.handover.renew(LED_DATA_CENTRES, FORWARD_TIMEOUT / 2)
+    rig.handover.update_requests(LED_DATA_CENTRES, FORWARD_TIMEOUT / 2)
     assert rig.handover.is_handed_over((MODELS, KEY_1))
-    rig.handover.renew(LED_DATA_CENTRES, FORWARD_TIMEOUT)
+    rig.handover.update_requests(LED_DATA_CENTRES, FORWARD_TIMEOUT)
     assert not rig.handover.is_handed_over((MODELS, KEY_1))
 
 
@@ -84,7 +84,7 @@
     rig.wait(KEY_1)
     rig.forward(KEY_1)
     rig.fleet.put_endpoint(make_engine(KEY_1))
-    rig.handover.renew(LED_DATA_CENTRES, 0.1)
+    rig.handover.update_requests(LED_DATA_CENTRES, 0.1)
     assert not rig.handover.is_handed_over((MODELS, KEY_1))
 
 
@@ -93,10 +93,10 @@
     rig.fleet.put_endpoint(make_engine(KEY_1))
     rig.fleet.put_endpoint(replace(make_engine(), weights={}))
     rig.wait(KEY_1)
-    rig.handover.renew(LED_DATA_CENTRES, 0.0)
+    rig.handover.update_requests(LED_DATA_CENTRES, 0.0)
     assert rig.handover.list_assigned("south") == [(MODELS, KEY_1)]
     rig.wait(KEY_1, at=HANDOVER_TIMEOUT)
-    rig.handover.renew(LED_DATA_CENTRES, HANDOVER_TIMEOUT + 0.01)
+    rig.handover.update_requests(LED_DATA_CENTRES, HANDOVER_TIMEOUT + 0.01)
     assert not rig.handover.is_handed_over((MODELS, KEY_1))
 
 
@@ -109,7 +109,7 @@
         rig.fleet.put_endpoint(engine)
         rig.fleet.put_endpoint(replace(engine, weights={}))
     rig.wait(KEY_1)
-    rig.handover.renew(LED_DATA_CENTRES, 0.0)
+    rig.handover.update_requests(LED_DATA_CENTRES, 0.0)
     assert rig.handover.list_assigned("west") == [(MODELS, KEY_1)]
 
 
@@ -122,5 +122,5 @@
         rig.fleet.put_endpoint(engine)
         rig.fleet.put_endpoint(replace(engine, weights={}))
     rig.wait(KEY_1)
-    rig.handover.renew(LED_DATA_CENTRES, 0.0)
+    rig.handover.update_requests(LED_DATA_CENTRES, 0.0)
     assert not rig.handover.is_handed_over((MODELS, KEY_1))
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -51,9 +51,9 @@
     state.start_unload(WeightsKey(MODEL, "a1"), 1.1)
     # Order counts restart: by its count alone, the report would predate the last order.
     state.apply_report(make_report(BORN + 9, 0, {}), 2.0)
-    assert (state.sequence, state.weights, state.unloading) == (0, {}, {})
+    assert (state.sequence, state.weights, state.pending_unloads) == (0, {}, {})
     assert state.endpoint.born == BORN + 9
-    assert not state.make_row().weights
+    assert not state.make_endpoint().weights
 
 
 def test_late_report_of_an_earlier_incarnation_is_ignored() -> None:
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -30,7 +30,7 @@
     encode_endpoint,
 )
 from kestreltally.knowledge.structs import Report, Update
-from kestreltally.knowledge.updates import LeaderState, LedDataCentre
+from kestreltally.knowledge.updates import LeaderState, LeaseInfo
 from kestreltally.knowledge.watch_handlers import EXPIRY_GRACE_PERIOD, EndpointsHandler
 from kestreltally.platform.documents import (
     MalformedDocument,
@@ -246,7 +246,7 @@
         self.feed._peers.add(self.peer)
 
     def make_state(self) -> LeaderState:
-        leads = (LedDataCentre("north", 1, Revision(1, 1)),)
+        leads = (LeaseInfo("north", 1, Revision(1, 1)),)
         return LeaderState("me", leads, (), {}, 0.0, 0.0, self.version, b"{}")
 
     def update(self) -> Any:
--- a/tests/test_leader.py
+++ b/tests/test_leader.py
@@ -201,18 +201,18 @@
     assert placed.key == WeightsKey(MODEL, "many")
 
 
-@pytest.mark.parametrize("crowded", [True, False])
-async def test_replica_is_loaded_when_all_holders_are_full(crowded: bool) -> None:
+@pytest.mark.parametrize("saturated", [True, False])
+async def test_replica_is_loaded_when_all_holders_are_full(saturated: bool) -> None:
     # Guards against a failure in which three engines refused 4,700 requests for
     # adapters that only they held, while other engines had free capacity.
     engine = make_view("e1", "north", make_held("cold", 0.1))
     requested = replace(
         make_requested("hot", 0, rate=1.0),
         holders={"north": 1},
-        crowded=crowded,
+        saturated=saturated,
     )
     placed = plan_most_missed_first([engine], [requested], 10.0)
-    assert [each.key.adapter for each in placed] == (["hot"] if crowded else [])
+    assert [each.key.adapter for each in placed] == (["hot"] if saturated else [])
 
 
 async def test_engine_failing_most_requests_is_quarantined() -> None:
@@ -225,7 +225,9 @@
     clock = asyncio.get_running_loop().time
     key = WeightsKey(MODEL, "a7")
     (holder,) = rig.fleet.list_holders(MODELS, key, clock())
-    rig.leader.endpoint_health.record(Outcome(holder.id, whole=1, failed=4), clock())
+    rig.leader.endpoint_health.record(
+        Outcome(holder.id, completed=1, failed=4), clock()
+    )
     await asyncio.sleep(0.1)
     assert rig.fleet.list_holders(MODELS, key, clock()) == []
     rig.ask(7)
@@ -241,7 +243,7 @@
     rig = LeaderRig()
     await asyncio.sleep(0.5)
     for name in rig.engines:
-        failed = Outcome(EndpointId(name), whole=0, failed=9)
+        failed = Outcome(EndpointId(name), completed=0, failed=9)
         rig.leader.endpoint_health.record(failed, asyncio.get_running_loop().time())
     await asyncio.sleep(0.1)
     assert sum(each.quarantined for each in rig.fleet.endpoints.values()) == 1
--- a/tests/test_limit_table.py
+++ b/tests/test_limit_table.py
@@ -18,7 +18,7 @@
 from kestreltally.placing.credits import (
     CreditHolder,
     CreditIssuer,
-    compute_leased_terms,
+    compute_leased_parameters,
 )
 from kestreltally.platform.headers import list_unrecognised, read_notice
 from tests.limitsim import simulate
@@ -244,7 +244,7 @@
         self.issue()
 
     def issue(self) -> float | None:
-        terms = compute_leased_terms(self.limit.rate)
+        terms = compute_leased_parameters(self.limit.rate)
         return self.issuer.issue(ENDPOINT_ID, 1, self.limit, terms)
 
     def list_issued(self) -> list[int]:
