--- a/src/kestreltally/entry/affinity.py
+++ b/src/kestreltally/entry/affinity.py
@@ -12,9 +12,9 @@
 
 
 class Affinity:
-    """Maps recent prompt parts to the endpoint that processed them.
+    """Maps recent prompt parts to the endpoint that processed them last.
 
-    The entries recorded least recently are evicted first.
+    The least recently recorded entries are evicted first.
     """
 
     def __init__(self) -> None:
--- a/src/kestreltally/entry/api.py
+++ b/src/kestreltally/entry/api.py
@@ -43,9 +43,9 @@
 
 # Limit of request headers in bytes; used before any configuration is known.
 MAX_HEADER_BYTES: Final = 65_536
-# Idle time of kept client connections, in seconds. They may stay idle for four fifths
-# of the configured time. That time is not known when the server starts, and closing a
-# connection later than necessary is harmless.
+# Idle time after which client connections are closed, in seconds. Clients may leave a
+# connection idle for four fifths of the configured time. That time is not known when
+# the server starts, and closing a connection later than necessary is harmless.
 KEEP_ALIVE_TIMEOUT: Final = 75.0
 SPLIT_RANGE: Final = 2**32
 BACKLOG: Final = 512
@@ -141,7 +141,7 @@
         return self._stops_at is not None
 
     def stop_by(self, deadline: Seconds) -> None:
-        """Start a planned stop: report not ready, and finish all requests by a time."""
+        """Start a planned stop: report not ready, end all requests by a deadline."""
         self._stop_started_at = asyncio.get_running_loop().time()
         self._stops_at = deadline
 
@@ -210,7 +210,7 @@
         call: ClientCall,
         end: BaseException | web.StreamResponse,
     ) -> None:
-        """Log the line that ends every request, and report its metrics."""
+        """Log the end of a request, and report its metrics."""
         now = asyncio.get_running_loop().time()
         configuration = self._fleet.configuration
         request = call.request
@@ -257,7 +257,7 @@
     def _describe_content(self, decision: Decision, call: ClientCall) -> str | None:
         """Return the fingerprint of a stopped request, or of one that failed once sent.
 
-        Others are not hashed, because bodies may be long.
+        Other requests are not hashed, because bodies may be long.
         """
         if call.progress.content is not None:
             return call.progress.content
@@ -284,7 +284,7 @@
         if configuration is None:
             raise Refused(UNAVAILABLE, "no configuration received yet", 0.5)
         body = await self._read_body(client, configuration)
-        # The configuration in force once the request is complete applies.
+        # The configuration may have changed while the body was read.
         configuration = self._fleet.configuration or configuration
         path = client.raw_path
         host = client.headers.get("Host", "").partition(":")[0].lower()
--- a/src/kestreltally/entry/choice.py
+++ b/src/kestreltally/entry/choice.py
@@ -7,13 +7,13 @@
 from kestreltally.estimates.prefill import PrefillWork
 from kestreltally.fleet.model import Endpoint, Seconds
 
-# Cost added for an endpoint in another data centre. It stands for the price of the
+# Cost added for an endpoint in another data centre. It represents the price of the
 # traffic between data centres, a fraction of the value of the request; the added
 # latency is negligible.
 REMOTE_PENALTY: Final[Seconds] = 0.25
-# Cost of joining a full batch, which slows each token; scaled by the occupied share.
+# Cost of joining a full batch, which slows each token; scaled by the occupied fraction.
 BATCH_PENALTY: Final[Seconds] = 0.5
-# Cost added where the batch is full, so that a request waits until another one ends.
+# Cost added if the batch is full, because a request then waits until another one ends.
 QUEUE_PENALTY: Final[Seconds] = 0.5
 
 
--- a/src/kestreltally/entry/delivery.py
+++ b/src/kestreltally/entry/delivery.py
@@ -20,8 +20,8 @@
 LOG = logging.getLogger("kestreltally.relay")
 
 MIN_FAILURE_STATUS: Final = 500
-# Statuses that imply that a request has not run. One from an endpoint is forwarded only
-# if the endpoint states this itself.
+# Statuses that tell a client that its request has not run. An endpoint's answer with
+# one of them is forwarded only if the endpoint states explicitly that it did not run.
 NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 # Bodies up to this size are buffered, so that a truncated one can be retried.
 MAX_BUFFERED_BYTES: Final = 2**18
--- a/src/kestreltally/entry/demand.py
+++ b/src/kestreltally/entry/demand.py
@@ -10,9 +10,10 @@
 class WeightsDemand:
     """The requests for one service's weights since the last report.
 
-    ``waiting`` counts those that wait for the weights now, ``within_objective`` those of them
-    that can still be answered within their objective. ``prompt_tokens`` is the total of
-    the waiting requests. ``missed`` counts refused requests.
+    ``waiting`` counts those that wait for the weights now, ``within_objective`` those
+    of them that can still be answered within their objective. ``prompt_tokens`` is the
+    total of the waiting requests. ``missed`` counts requests that were refused because
+    the weights were not loaded.
     """
 
     service: ServiceName
--- a/src/kestreltally/entry/finder.py
+++ b/src/kestreltally/entry/finder.py
@@ -1,4 +1,4 @@
-"""Finds the endpoint for a request and waits for its weights while that is useful."""
+"""Finds the endpoint for a request, and waits for its weights if that is worthwhile."""
 
 import asyncio
 import logging
@@ -31,8 +31,8 @@
 
 LOG = logging.getLogger("kestreltally.finder")
 
-# No request is refused for a wait this short, even if it becomes late: loading an
-# adapter from the weight store takes 0.25 s, and twice that while others are loading.
+# No request is refused for a wait this short, even if it misses its objective: loading
+# an adapter from the weight store takes 0.25 s, twice that while others are loading.
 MIN_ACCEPTED_WAIT: Final[Seconds] = 0.5
 # A waiting request is checked at this interval: the leader updates its estimate of the
 # load wait five times a second.
@@ -60,7 +60,7 @@
 
     ``remote_occupancy`` is the occupancy by other daemons' requests. ``load_wait`` is
     the leader's estimate of how long a load takes from now, None without a leader.
-    ``expedite`` makes new demand be reported to the leader at once.
+    ``expedite`` reports new demand to the leader at once.
     """
 
     def __init__(self, data_centre: str, fleet: Fleet, health: HealthTable) -> None:
@@ -97,7 +97,7 @@
     async def _find_for_service(
         self, request: ClientRequest, progress: Progress
     ) -> Option:
-        """Return the chosen endpoint where any endpoint of the service can serve."""
+        """Return the chosen endpoint if any endpoint of the service can serve."""
         loop = asyncio.get_running_loop()
         self._request_credits(request, None)
         while True:
@@ -150,7 +150,10 @@
     async def _wait_until_available(
         self, request: ClientRequest, key: WeightsKey | None, timeout: Seconds
     ) -> None:
-        """Wait for weights, or for a credit at an endpoint with a rate limit."""
+        """Wait until weights, an endpoint or a credit at one becomes available.
+
+        Returns at the latest after ``timeout``.
+        """
         now = asyncio.get_running_loop().time()
         service = request.service_name
         target: WaitTarget = service if key is None else key
@@ -172,7 +175,7 @@
         return bool(self._fleet.list_holders(service, key, now))
 
     def _make_waiter(self, request: ClientRequest) -> Waiter:
-        """Return what is reported to the leader about a waiting request."""
+        """Return the data on a waiting request that is reported to the leader."""
         prefill_time = self.prefill_times.predict_unqueued(request.head.prompt_tokens)
         return Waiter(
             ready_deadline=request.arrived_at + request.route.objective - prefill_time,
@@ -204,11 +207,11 @@
             raise Refused(UNAVAILABLE, f"{key} is not loaded", retry_after)
 
     def _compute_ready_deadline(self, request: ClientRequest, *, new: bool) -> Seconds:
-        """Return the latest time of loaded weights for which a request keeps waiting.
+        """Return the latest time at which the weights must be loaded.
 
-        A new request is refused at once if a wait beyond ``MIN_ACCEPTED_WAIT`` would
-        make it late. One that has waited is served late rather than refused, as long as
-        its client still waits.
+        A new request is refused at once if a wait longer than ``MIN_ACCEPTED_WAIT``
+        would make it miss its objective. A request that has waited is served late
+        rather than refused, as long as its client still waits.
         """
         prefill_time = self.prefill_times.predict_unqueued(request.head.prompt_tokens)
         deadline = request.first_event_deadline - prefill_time
--- a/src/kestreltally/entry/health.py
+++ b/src/kestreltally/entry/health.py
@@ -17,8 +17,8 @@
 # Duration of the first ejection; it doubles with each further one up to the maximum.
 INITIAL_EJECTION_TIME: Final[Seconds] = 0.6
 MAX_EJECTION_TIME: Final[Seconds] = 4.0
-# Largest fraction of a service's endpoints that may be left out. Beyond it the fault is
-# more likely to be in this daemon or common to all endpoints.
+# Maximum fraction of a service's endpoints that are left out. If more fail, the fault
+# is more likely to be in this daemon or common to all endpoints.
 MAX_EJECTED_FRACTION: Final = 0.5
 # An endpoint whose failure rate exceeds the service's median by this much is an
 # outlier.
@@ -73,7 +73,7 @@
 
 
 class HealthTable:
-    """The health of all endpoints, from this daemon's own requests."""
+    """The health of all endpoints, observed from this daemon's requests."""
 
     def __init__(self) -> None:
         self._rows: dict[EndpointId, Health] = {}
@@ -129,7 +129,7 @@
         self.get_row(endpoint).received_at = now
 
     def is_overtaken(self, endpoint: EndpointId, token: int) -> bool:
-        """Return whether a later request of no higher urgency was answered first."""
+        """Return whether a later request that is not more urgent was answered first."""
         health = self.get_row(endpoint)
         answer = health.pending.get(token)
         if answer is None:
--- a/src/kestreltally/entry/identity.py
+++ b/src/kestreltally/entry/identity.py
@@ -16,12 +16,12 @@
 BAD_REQUEST: Final = 400
 UNAUTHORISED: Final = 401
 # Retry time for an unknown key while a newer configuration may contain it. A daemon
-# without a recent confirmation asks the store again within this time.
+# without a recent confirmation reads the store again within this time.
 UNKNOWN_KEY_RETRY_DELAY: Final[Seconds] = 1.0
 # Retry time while this daemon has lost the store, but others may still reach it.
 OTHER_DAEMON_RETRY_DELAY: Final[Seconds] = 0.1
-# Retry time while the leader in contact has lost the store as well, and so presumably
-# have all daemons. An unreachable store is asked again within this time.
+# Retry time if the leader in contact has lost the store as well: then presumably all
+# daemons have. An unreachable store is read again within this time.
 STORE_RETRY_DELAY: Final[Seconds] = 1.0
 
 
@@ -31,7 +31,7 @@
     def __init__(self, fleet: Fleet, authority: Authority) -> None:
         self._fleet = fleet
         self._authority = authority
-        # Whether any leader is in contact.
+        # Whether this daemon is in contact with any leader.
         self.has_leader_contact = False
 
     def identify(self, keys: list[str], route: Route) -> Caller | None:
@@ -64,7 +64,7 @@
         return organisation
 
     def _make_refusal(self, reason: str) -> Refused:
-        """Return a permanent refusal, or a temporary one if knowledge may be stale."""
+        """Return a permanent refusal, or a temporary one if newer keys may exist."""
         if self._authority.is_fresh:
             return Refused(UNAUTHORISED, reason)
         return Refused(
--- a/src/kestreltally/entry/outcomes.py
+++ b/src/kestreltally/entry/outcomes.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """The numbers of complete answers and of failures at an endpoint.
+    """The number of complete answers and of failures at an endpoint.
 
     A failure is a connection that could not be opened or that broke, a silent endpoint,
     or bytes that are not a valid answer. An error status from the endpoint is an
--- a/src/kestreltally/entry/progress.py
+++ b/src/kestreltally/entry/progress.py
@@ -28,9 +28,9 @@
 class Progress:
     """The state of one request.
 
-    ``runs`` counts the sends that may have run: no endpoint stated that they did not.
-    ``attempt`` is the watch on the last send. ``content`` is what log lines show of the
-    content of a stopped request.
+    ``runs`` counts the sends that may have run, because the endpoint did not state that
+    they had not. ``attempt`` is the record of the current send for poison detection.
+    ``content`` identifies the content of a stopped request in log lines.
     """
 
     sends: int = 0
@@ -47,7 +47,7 @@
     content: str | None = None
 
     def record_answered(self, *, complete: bool) -> None:
-        """Record that a part of an answer, or all of it, was valid."""
+        """Record that a valid part of an answer, or all of it, has arrived."""
         if self.attempt is not None:
             self.attempt.answered = True
             self.attempt.complete = complete
--- a/src/kestreltally/entry/relay.py
+++ b/src/kestreltally/entry/relay.py
@@ -85,8 +85,8 @@
 ) -> int:
     """Return the priority to send to an engine, 0 the most urgent.
 
-    A late request yields to those that can still meet their objective; late requests
-    keep their order among themselves. A stream that has started is not late.
+    A request that misses its objective yields to those that can still meet theirs;
+    such late requests keep their order. A stream that has started is not late.
     """
     priority = request.priority
     if resumes or first_event_at <= request.arrived_at + request.route.objective:
@@ -176,9 +176,9 @@
                     await asyncio.sleep(RETRY_PAUSE)
 
     def _check_poison(self, request: ClientRequest, progress: Progress) -> None:
-        """Stop a poison request, during which endpoints have ended.
+        """Stop a suspected poison request: endpoints have ended while they ran it.
 
-        It would probably end the next endpoint as well, with all other requests there.
+        It would probably end the next endpoint too, and all other requests there.
         """
         block = self.poison.find_block(request)
         if block is None:
@@ -458,7 +458,7 @@
         return encode_head(request.method, request.path, headers)
 
     def _choose_version(self, request: ClientRequest, endpoint: Endpoint) -> int | None:
-        """Return the newest version, to be required, if the endpoint has it."""
+        """Return the newest version if the endpoint has it, to require it there."""
         key = request.head.weights
         if key is None or not key.adapter:
             return None
--- a/src/kestreltally/entry/retries.py
+++ b/src/kestreltally/entry/retries.py
@@ -1,4 +1,4 @@
-"""Retry budget: this daemon's share of one bound for all daemons."""
+"""Retry budget: this daemon's share of the bound for all daemons together."""
 
 from collections import defaultdict, deque
 from typing import Final
@@ -6,8 +6,8 @@
 from kestreltally.deployment import Bounds
 from kestreltally.fleet.model import Seconds, ServiceName
 
-# Margins below this daemon's share: the bound holds for all daemons together, and
-# requests are not spread evenly over them.
+# The fractions of its share that a daemon uses: the bound holds for all daemons
+# together, and requests are not spread evenly over them.
 RATIO_FRACTION: Final = 0.75
 SLACK_FRACTION: Final = 0.7
 
--- a/src/kestreltally/entry/silence.py
+++ b/src/kestreltally/entry/silence.py
@@ -15,7 +15,7 @@
 # objective.
 FIRST_CHECK_FACTOR: Final = 1.3
 MIN_FIRST_CHECK_DELAY: Final[Seconds] = 0.3
-# Interval of the following checks: a few of them fit into the load of one adapter.
+# Interval of the following checks: a few of them fit into the time of an adapter load.
 POLL_INTERVAL: Final[Seconds] = 0.1
 # An engine that is streaming sends bytes to each daemon more often than this: the
 # longest pause between events that callers accept is 0.25 to 0.4 s.
--- a/src/kestreltally/entry/upstream.py
+++ b/src/kestreltally/entry/upstream.py
@@ -111,7 +111,7 @@
     """One connection to one incarnation of an endpoint.
 
     All messages of an endpoint pass through it: answers to forward, refusals, reports,
-    answers to orders, and late answers that nothing waits for any more.
+    answers to orders, and late answers that no request waits for any more.
     """
 
     def __init__(
@@ -129,7 +129,7 @@
         return self._endpoint.host, self._endpoint.port
 
     def set_endpoint(self, endpoint: Endpoint) -> None:
-        """Use the channel for the current record of its endpoint."""
+        """Set the endpoint's current record, to which notices are applied."""
         self._endpoint = endpoint
 
     @property
--- a/src/kestreltally/entry/waiting.py
+++ b/src/kestreltally/entry/waiting.py
@@ -1,4 +1,4 @@
-"""Requests that wait until an endpoint can serve them: for weights or a credit."""
+"""Lets requests wait for an endpoint that can serve them: for weights or a credit."""
 
 import asyncio
 from collections import defaultdict
--- a/src/kestreltally/estimates/prefill.py
+++ b/src/kestreltally/estimates/prefill.py
@@ -4,7 +4,7 @@
 arrival, without preemption. The model is
 
     time to first event
-        = base_latency + token_time x (own_tokens + fraction x queued_tokens)
+        = base_latency + token_time x (uncached_tokens + fraction x queued_tokens)
 
 where ``token_time`` (prefill seconds per prompt token) is learned per engine,
 ``base_latency`` for all engines together, and ``fraction`` per request priority: the
@@ -43,7 +43,7 @@
 class PrefillWork:
     """Prompt tokens to process before the first event of a request.
 
-    ``uncached_tokens`` are those of the request itself that are not cached;
+    ``uncached_tokens`` are those of the request itself that the engine has not cached,
     ``queued_tokens`` those of other requests at the same engine.
     """
 
--- a/src/kestreltally/knowledge/authority.py
+++ b/src/kestreltally/knowledge/authority.py
@@ -1,10 +1,10 @@
 """Bounds the age of the configuration by which a daemon accepts API keys.
 
 Requests with a revoked key must be refused soon, even by a daemon that reaches neither
-the store nor a leader. So a daemon keeps the latest time for which it is known to hold
+the store nor a leader. So a daemon keeps the latest time for which it is proven to know
 every configuration that the store had acknowledged by then. There are two proofs:
 
-- A read of the configuration: the answer holds at least as of the time of the call.
+- A read of the configuration: the answer is valid as of the time of the call or later.
 - An update of a leader: a report carries the daemon's own time, and the leader answers
   with the offset of its own proof from the arrival of that report. No clocks are
   compared, and an update that stays unread for some time does not prove a later time.
@@ -39,13 +39,13 @@
 # Interval at which leaders read the configuration. With the feed's 0.4 s, the proof is
 # at most about 2 s old, of the 5 s that are allowed.
 READ_INTERVAL: Final[Seconds] = 1.5
-# Each daemon tries again within this time, however many of them read for themselves.
-# This is sooner than watches do, as requests with a key are refused meanwhile.
+# Each daemon retries within this time, however many daemons read. Watches retry less
+# often; this read is more urgent, as requests with a key are refused until it succeeds.
 MAX_RETRY_INTERVAL: Final[Seconds] = 2.0
 
 
 class Authority:
-    """The time up to which this daemon knows all configurations.
+    """The time up to which this daemon is proven to know all configurations.
 
     ``bound`` is the maximum age at which keys are accepted; None accepts keys at any
     age.
@@ -120,12 +120,12 @@
         self._required = asyncio.Event()
 
     def wake_if_needed(self) -> None:
-        """Start to read if that is needed."""
+        """Start reading if this daemon has to."""
         if not self._required.is_set() and self._is_needed():
             self._required.set()
 
     async def run(self) -> None:
-        """Read whenever that is needed; runs forever."""
+        """Read whenever this daemon has to; runs forever."""
         while True:
             if not self._is_needed():
                 self._required.clear()
@@ -147,7 +147,7 @@
         if stored is None or not self._apply_stored(stored):
             return
         if lacks_writes(self._store.restored_at, started_at):
-            # A store restored from a backup may lack the write that revoked a key in
-            # the seconds that it lost.
+            # A store restored from a backup has lost its last seconds, and with them
+            # perhaps the write that revoked a key.
             return
         self._authority.record(started_at)
--- a/src/kestreltally/knowledge/credits.py
+++ b/src/kestreltally/knowledge/credits.py
@@ -3,10 +3,10 @@
 A daemon requests credits from the leader it follows, and that leader requests them from
 the leader of the endpoint. Requests travel in reports, which are sent at once if a call
 waits; credits come back in updates, and are handed over along the same path. A leader
-may be reachable although its lease has expired. A leader that does not hold the
-endpoint's lease, and reaches no leader that does, issues credits to the daemons that it
-reaches by itself, at a lower rate (see the terms of the issuer). The cost for a daemon
-grows with the number of rate-limited endpoints, not with the size of the fleet.
+may be reachable although its lease has expired. A leader that neither holds the
+endpoint's lease nor reaches a leader that does issues credits itself, to the daemons
+that it reaches, at a lower rate (see ``IssueParameters``). The cost for a daemon grows
+with the number of rate-limited endpoints, not with the size of the fleet.
 """
 
 import asyncio
@@ -79,7 +79,8 @@
     def get_issuer_state(self, endpoint: Endpoint) -> IssuerState:
         """Return what is known of the issuer of an endpoint's credits.
 
-        Any leader provides them: it issues them, or forwards those of another leader.
+        It is known if this daemon leads or follows a leader: any leader issues credits
+        or forwards those of another leader.
         """
         known = self._leaders.leads or self._leaders.find_primary() is not None
         return IssuerState(known=known, daemons=self._daemon_count.maximum)
@@ -102,7 +103,7 @@
     def _choose_parameters(
         self, endpoint: Endpoint, limit: RateLimitState
     ) -> IssueParameters:
-        """Return the terms on which this daemon issues credits of an endpoint."""
+        """Return the parameters by which this daemon issues an endpoint's credits."""
         if self._get_lease(endpoint).is_sole_holder():
             return compute_leased_parameters(limit.rate)
         leads = self._is_leader_of(endpoint)
@@ -152,7 +153,7 @@
             self._feed.expedite()
 
     def _add_local_credit(self, endpoint: EndpointId, expires_at: Seconds) -> None:
-        """Add a credit for this daemon's own calls."""
+        """Add a credit for this daemon's calls."""
         known = self._fleet.endpoints.get(endpoint)
         if known is None:
             return
@@ -271,7 +272,7 @@
         *,
         is_followed: bool,
     ) -> None:
-        """Apply the wait for credits that the issuer reports, or a leader forwards."""
+        """Apply the wait for credits, from the issuer or forwarded by a leader."""
         known = self._fleet.endpoints.get(notice.endpoint)
         limit = self._notices.get_rate_limit(notice.endpoint, notice.born)
         if known is None or limit is None:
--- a/src/kestreltally/knowledge/exchange.py
+++ b/src/kestreltally/knowledge/exchange.py
@@ -77,9 +77,9 @@
 LEADER_CHANGE_LOAD_WAIT: Final[Seconds] = 0.35
 
 # Limits on the load wait that another leader reports. Above the first one its free
-# capacity is not used. Above the second one it is not asked for adapters of which its
-# engines keep copies either. That limit is higher, as copies are loaded ahead of
-# adapters from the store; a leader that cannot give orders yet reports a longer wait.
+# capacity is not used. Above the second one, it is not even asked for adapters of which
+# its engines keep copies. The second limit is higher, as copies are loaded ahead of
+# adapters from the store. A leader that cannot give orders yet reports a longer wait.
 MAX_CAPACITY_LOAD_WAIT: Final[Seconds] = 0.5
 MAX_HANDOVER_LOAD_WAIT: Final[Seconds] = 2.0
 
@@ -188,7 +188,7 @@
         )
         self.feed.send_all()
 
-    # What a leader sends in updates.
+    # Fields of a leader's updates.
 
     def _make_state(self) -> LeaderState:
         """Return the state for updates.
@@ -256,7 +256,7 @@
         spendings = [decode_spending(row) for row in report.spendings or ()]
         self._group.apply_spendings(spendings, of_group=not report.leads)
 
-    # What a daemon reports.
+    # Reports to leaders.
 
     def _make_report(self, data_centre: str) -> Any:
         configuration = self._fleet.configuration
@@ -351,7 +351,7 @@
         ]
         return min(load_waits, default=None)
 
-    # How a daemon applies an update.
+    # Received updates.
 
     def _apply_update(self, data_centre: str, update: Any) -> None:
         for lease_row in update.leads or ():
@@ -386,9 +386,9 @@
         )
 
     def _apply_authority(self, update: Any) -> None:
-        """Record up to when the leader's configuration is complete.
+        """Record the time up to which the leader knows all configurations.
 
-        This waits until this daemon has that configuration in force too.
+        This is skipped until the leader's configuration is in force at this daemon.
         """
         configuration = self._fleet.configuration
         if configuration is None or update.known_by is None:
@@ -424,7 +424,7 @@
         return lease or self._leases[min(self._leases)]
 
     def apply_local_report(self) -> None:
-        """Process this daemon's own requests like the reports of its followers."""
+        """Process this daemon's requests like the reports of its followers."""
         if self.leader is None or not self.leaders.leads:
             return
         local = self._deployment
@@ -445,7 +445,7 @@
         self.credits.issue()
 
     def _record_daemon_count(self, count: int) -> None:
-        """Record the number of daemons, from which shares of common limits follow."""
+        """Record the number of daemons, which determines shares of common limits."""
         self._relay.budget.daemon_count = count
         self._limiter.daemons = count
         self.credits.record_daemon_count(count)
@@ -464,7 +464,7 @@
             self.leader.record_notice(endpoint)
         self._expedite_facts()
         if self.leaders.leads:
-            # The endpoint's leader learns of notices from reports, also of leaders.
+            # The endpoint's own leader gets notices from the reports of other leaders.
             self._expedite_leader_reports()
 
     def _wake_credit_waiter(self, endpoint: Endpoint) -> None:
@@ -482,7 +482,7 @@
             self.expedite(primary)
 
     def _report_use_change(self) -> None:
-        """Report an adapter's first or last use at once if adapter slots are short."""
+        """Report an adapter's first or last use at once if no places are free."""
         if self.leaders.leads and self.leader is not None:
             if self.leader.is_over_capacity:
                 self.leader.wake()
@@ -514,7 +514,7 @@
             self._expedite_leader_reports()
 
     def _record_local_reading(self, tokens: int) -> None:
-        """Report at once that an endpoint starts or finishes reading a long prompt."""
+        """Report at once that an endpoint starts or ends a long prefill."""
         if tokens < SIGNIFICANT_TOKENS:
             return
         if self.leaders.leads:
--- a/src/kestreltally/knowledge/feed.py
+++ b/src/kestreltally/knowledge/feed.py
@@ -38,17 +38,17 @@
 # A daemon that does not lead has nothing to send; it is woken when it starts to lead.
 IDLE_INTERVAL: Final[Seconds] = 1.0
 # Changes within the batch delay are sent together. The delay is a tenth of the duration
-# of a load, and up to a fifth with many followers, as every update wakes each of them.
+# of a load. With many followers it is up to a fifth, as every update wakes all of them.
 MIN_BATCH_DELAY: Final[Seconds] = 0.02
 MAX_BATCH_DELAY: Final[Seconds] = 0.05
 BATCH_DELAY_PER_FOLLOWER: Final[Seconds] = 0.002
 # Totals that have changed significantly are sent between the regular updates, at most
-# once in this interval; an engine reads a long prompt for about 0.25 s.
+# once in this interval. The prefill of a long prompt takes about 0.25 s.
 MIN_TOTALS_INTERVAL: Final[Seconds] = 0.04
 # The interval grows with the followers: a leader sends about 250 totals/s at most.
 TOTALS_INTERVAL_PER_FOLLOWER: Final[Seconds] = 0.004
-# A change of at least this many unread tokens is significant: an engine takes 50 to
-# 100 ms to read them.
+# A change of at least this many unread tokens is significant: their prefill takes an
+# engine 50 to 100 ms.
 SIGNIFICANT_TOKENS: Final = 2_048
 # A daemon with more unsent bytes than this gets no further update until it has read
 # them, so that updates stay recent: about 25 ms on the slowest link of 10 Mbit/s.
@@ -329,7 +329,7 @@
 
 
 def _fill_authority(update: Update, peer: Peer, state: LeaderState) -> None:
-    """Answer a report's stamp with the offset up to which all writes are known."""
+    """Set the time up to which all writes are known, relative to a report's arrival."""
     if state.known_at is not None and peer.stamp is not None:
         update.echo = peer.stamp
         update.known_by = state.known_at - peer.stamp_received_at
--- a/src/kestreltally/knowledge/feed_client.py
+++ b/src/kestreltally/knowledge/feed_client.py
@@ -25,7 +25,7 @@
 
 
 class FeedClient:
-    """Maintains a connection to the leader of one data centre while it has one."""
+    """Maintains a connection to the leader of one data centre while there is one."""
 
     def __init__(
         self,
--- a/src/kestreltally/knowledge/fleet_rows.py
+++ b/src/kestreltally/knowledge/fleet_rows.py
@@ -21,10 +21,10 @@
 
 
 class FleetRows(FeedPart):
-    """Keeps the fleet's tables in line with leaders' updates and the store.
+    """Applies leaders' updates and the store's entries to the fleet's tables.
 
-    ``get_leader`` returns this daemon's own leader, None while the daemon is being
-    constructed; ``expedite`` sends changes to followers at once.
+    ``get_leader`` returns this daemon's ``Leader``, None while the daemon is being
+    constructed. ``expedite`` sends changes to followers at once.
     """
 
     def __init__(
@@ -70,10 +70,11 @@
     def _drop_missing(
         self, present: set[str], led_data_centres: frozenset[str], as_of: Seconds
     ) -> None:
-        """Remove endpoints that a full update lacks, as far as its sender leads them.
+        """Remove endpoints that a full update lacks.
 
-        An empty update is ignored: it comes from a leader that has just started, maybe
-        while entries of the store had expired, so the rows known already are better.
+        A leader removes only those that the sender leads. An empty update is ignored:
+        it comes from a leader that has just started, perhaps while entries of the store
+        had expired, so the rows already known are better.
         """
         if not present:
             return
--- a/src/kestreltally/knowledge/group.py
+++ b/src/kestreltally/knowledge/group.py
@@ -33,7 +33,7 @@
 
     Data on engines that this daemon leads goes to its leader and ledger; other data is
     kept for the leaders of those engines until it is reported. ``get_leader`` returns
-    this daemon's own leader, None while the daemon is being constructed.
+    this daemon's ``Leader``, None while the daemon is being constructed.
     """
 
     def __init__(
@@ -54,10 +54,10 @@
         # Units spent through this group by organisation, for the other leaders.
         self._spendings = {name: SpendingCounter() for name in leases}
         self._refused: dict[str, set[Use]] = {name: set() for name in leases}
-        # How requests of this group ended, for the leaders of the endpoints.
+        # Outcomes of this group's requests, for the leaders of the endpoints.
         self._outcomes = {name: OutcomeCounter() for name in leases}
         # Requests of this group for weights that only engines of other data centres
-        # hold, by the data centre whose leader needs to know how much they are used.
+        # hold, by those data centres: their leaders need to know the demand.
         self._served_remotely: dict[str, dict[tuple[ServiceName, WeightsKey], int]] = {
             name: defaultdict(int) for name in leases
         }
@@ -65,14 +65,14 @@
     # Received reports.
 
     def apply_spendings(self, spendings: list[Spending], *, of_group: bool) -> None:
-        """Record units spent; those of this group are kept for other leaders too."""
+        """Record spent units; keep those of this group for the other leaders too."""
         self._ledger.record(spendings, self._clock())
         if of_group:
             for counter in self._spendings.values():
                 counter.add(spendings)
 
     def apply_outcomes(self, outcomes: Iterable[Outcome]) -> None:
-        """Score local endpoints by outcomes; keep those of others for their leaders."""
+        """Record outcomes at led endpoints; keep the others for their leaders."""
         leader = self._get_leader()
         if leader is None:
             return
--- a/src/kestreltally/knowledge/leaders.py
+++ b/src/kestreltally/knowledge/leaders.py
@@ -9,12 +9,12 @@
 from kestreltally.knowledge.updates import KnownLeader
 from kestreltally.placing.lease import Lease
 
-# A leader whose knowledge of endpoints is older than this is not relied upon.
+# A leader whose view of the store is older than this does not count as fresh.
 MAX_FEED_AGE: Final[Seconds] = 1.0
 
 
 class Leaders:
-    """The known leaders, by own leases, the store, and the reports of other leaders.
+    """The known leaders, by local leases, the store, and the reports of other leaders.
 
     ``clients`` follow the leader of each data centre; they are assigned later.
     """
@@ -39,7 +39,7 @@
         return any(lease.leads for lease in self._leases.values())
 
     def is_reachable(self, data_centre: str) -> bool:
-        """Return whether the leader of a data centre is reachable, or this daemon."""
+        """Return whether a data centre's leader is this daemon or is reachable."""
         return self._leases[data_centre].leads or self.clients[data_centre].is_alive()
 
     def should_poll(self, lease: Lease) -> bool:
--- a/src/kestreltally/knowledge/poison_exchange.py
+++ b/src/kestreltally/knowledge/poison_exchange.py
@@ -1,8 +1,8 @@
 """Exchanges facts on suspected poison requests over the feed.
 
-A fact says which request was at an endpoint when the endpoint ended. A daemon reports
+A fact states which request was at an endpoint when the endpoint ended. A daemon reports
 what it observed to the leader it follows, and leaders send each reported fact once to
-every connected daemon. So facts reach all daemons through whichever leaders there are.
+every connected daemon. So any reachable leader spreads the facts to all its daemons.
 """
 
 import asyncio
--- a/src/kestreltally/knowledge/tombstones.py
+++ b/src/kestreltally/knowledge/tombstones.py
@@ -1,7 +1,7 @@
 """Tombstones of removed endpoints, so that older updates do not restore them.
 
-A leader that has lost the store still sends endpoints that were removed since to
-daemons that connect to it. Its rows are as old as the last answer of the store to it.
+A leader that has lost contact with the store still sends endpoints that were removed
+since then. Its rows are as old as the last answer that it got from the store.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 from kestreltally.fleet.model import Endpoint, EndpointId, Seconds, is_other_incarnation
 
-# A leader that is the only one to lose the store resigns long before this.
+# A leader that alone has lost contact with the store resigns long before this.
 RETENTION: Final[Seconds] = 60.0
 
 
--- a/src/kestreltally/knowledge/updates.py
+++ b/src/kestreltally/knowledge/updates.py
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseInfo:
-    """A lease that is held or was resigned, with its fence and revision."""
+    """The fence and revision of a lease that is held or was resigned."""
 
     data_centre: str
     fence: int
@@ -117,7 +117,8 @@
         self._known = known
         self._for_followers = for_followers
         self._for_leaders = for_leaders
-        # By the id of the snapshot sent before, which each entry keeps alive.
+        # By the id of the snapshot sent last. Each entry references that snapshot, so
+        # that its id is not reused.
         self._differences: dict[tuple[int, bool], Difference] = {}
 
     def make_update(
@@ -186,7 +187,7 @@
 
 
 class UpdateMaker:
-    """Takes the snapshots from which a leader's updates are built."""
+    """Makes the snapshots from which a leader's updates are built."""
 
     def __init__(
         self,
--- a/src/kestreltally/knowledge/watch_handlers.py
+++ b/src/kestreltally/knowledge/watch_handlers.py
@@ -40,8 +40,8 @@
     """Puts each newer configuration in force, and keeps it for peers.
 
     ``lacks_writes`` returns whether the store may have been restored from a backup
-    without later writes. A daemon without a configuration then waits for that of a
-    leader, for the operators to write again, or for the time they need for that.
+    without later writes. A daemon without a configuration then waits for one from a
+    leader, or until the operators have written it again or had the time to do so.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
                 self.apply_document(change.object.content)
 
     def apply_read(self, stored: StoredObject) -> bool:
-        """Apply a configuration that was read; return as ``apply_document`` does."""
+        """Apply a configuration that was read; return whether it is in force."""
         if self._may_be_outdated():
             return False
         if stored.revision != self._read_revision:
@@ -92,8 +92,8 @@
     def apply_document(self, document: Any) -> bool:
         """Apply a configuration from any source, and return whether it is in force.
 
-        An older one is not. It shows that the store was restored from a backup, and
-        that newer configurations have not been written again yet.
+        An older configuration is not put in force. It shows that the store was restored
+        from a backup, and that newer ones have not been written again yet.
         """
         try:
             configuration = decode_configuration(document)
@@ -130,7 +130,7 @@
         self._expired: dict[EndpointId, Seconds] = {}
 
     def seed(self, endpoints: Iterable[Endpoint]) -> None:
-        """Start from endpoints known otherwise, so that missing ones are noticed."""
+        """Start from known endpoints, so that those missing in a list are detected."""
         self.listed = {each.id: each for each in endpoints}
 
     def apply_listing(self, listing: Listing) -> None:
--- a/src/kestreltally/knowledge/watching.py
+++ b/src/kestreltally/knowledge/watching.py
@@ -38,8 +38,8 @@
     """Keeps a handler up to date while the watch is enabled.
 
     ``gap`` is the minimum time between two calls; changes within it are received
-    together. ``wait`` is how long one call waits for a change. It is short, as a store
-    that stops answering may never answer a pending watch, even once it has recovered.
+    together. ``wait`` is how long one call waits for a change. It is short, because a
+    store that stops answering may never answer a pending watch, even after it recovers.
     ``count_watchers`` returns how many daemons retry when the store does not answer.
     """
 
@@ -108,8 +108,8 @@
             except StaleEra:
                 self._revision = None
             except HistoryGone:
-                # The store was available all the time, so no entry has expired by a
-                # failure of it.
+                # The store was available all the time, so no entry has expired because
+                # of an outage.
                 log_decision(LOG, Decision.HISTORY_GONE, kind=self._kind)
                 self._revision = None
             except StoreError as error:
--- a/src/kestreltally/placing/credits.py
+++ b/src/kestreltally/placing/credits.py
@@ -1,14 +1,15 @@
 """Issues credits for calls at rate-limited endpoints, counted centrally.
 
-Equal shares starve a daemon that requests alone, and every daemon of a large fleet. A
-common ratio, as quotas use, keeps a mean over many requests but not a window of a few.
-So one credit is issued per call, to a daemon with a waiting request, most urgent first.
+Equal shares would starve a daemon that is the only one with requests, and every daemon
+of a large fleet. A common ratio, as quotas use, keeps the mean rate over many requests,
+but not the rate within a window of a few requests. So one credit is issued per call, to
+a daemon with a waiting request, most urgent first.
 
 The holder of the endpoint's lease issues the whole limit. There may be no holder for a
 long time, while the store is down or after a holder is lost: then each leader issues a
 fraction of the limit, in proportion to the daemons that it reaches. A daemon follows
-one issuer, so these shares add up to that fraction at most, and a holder that only
-others can reach may issue besides.
+one issuer, so these shares add up to that fraction at most. A lease holder that only
+other daemons can reach may issue credits at the same time.
 """
 
 from collections import Counter
@@ -99,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IssueParameters:
-    """The terms under which credits are issued for a limit.
+    """The token bucket parameters for issuing the credits of a limit.
 
     ``rate`` is credits per second, ``depth`` how many can be issued at once, and
     ``min_level`` the bucket level that must be exceeded to issue one.
@@ -111,7 +112,7 @@
 
 
 def compute_leased_parameters(rate: float) -> IssueParameters:
-    """Return the terms of the lease holder for a limit."""
+    """Return the parameters of the lease holder for a limit."""
     return IssueParameters(
         rate=compute_issue_rate(rate), depth=compute_depth(rate), min_level=0.0
     )
@@ -120,7 +121,10 @@
 def compute_unleased_parameters(
     rate: float, reachable: int, daemons: int
 ) -> IssueParameters:
-    """Return the terms of an issuer that reaches some daemons and holds no lease."""
+    """Return the parameters of an issuer without the lease.
+
+    ``reachable`` is the number of daemons that it reaches, of ``daemons`` in all.
+    """
     share = reachable / max(1, reachable, daemons)
     return IssueParameters(
         rate=ISOLATED_FRACTION * rate * share,
@@ -132,7 +136,7 @@
 def compute_depth(rate: float) -> float:
     """Return how many credits of a limit can be issued at once.
 
-    More for a low limit: its calls arrive unevenly, and its window leaves room for it.
+    A low limit has more: its calls arrive unevenly, and its window allows for a burst.
     """
     return max(MIN_DEPTH, WINDOW_BURST - CREDIT_TTL * rate) + DEPTH_TIME * rate
 
@@ -148,7 +152,7 @@
 
 
 class CreditIssuer:
-    """Issues credits at some endpoints, and hands over those of other leaders.
+    """Issues credits for endpoints, and hands over those that other leaders issued.
 
     ``list_credit_holders`` returns the daemons to issue to at an endpoint.
     ``local_holder`` is this daemon, whose credits are passed to ``use_local``.
@@ -206,7 +210,7 @@
         parameters: IssueParameters,
         now: Seconds,
     ) -> float | None:
-        """Issue the credits in a bucket; return what lacks for the next, if any."""
+        """Issue the credits in a bucket; return the shortfall for the next, if any."""
         while (chosen := self._choose_next(endpoint)) is not None:
             urgency, holder = chosen
             # Prefetching leaves a reserve for requests that will wait.
--- a/src/kestreltally/placing/demand.py
+++ b/src/kestreltally/placing/demand.py
@@ -15,8 +15,8 @@
 # How long a daemon's reported count of waiting requests is valid.
 WAITING_TTL: Final[Seconds] = 0.8
 PRUNE_THRESHOLD: Final = 0.01
-# How often rates are decayed: they lose 2 % in between, while a leader plans several
-# times.
+# The interval at which rates are decayed. They lose 2 % in it, and a leader plans
+# several times.
 DECAY_INTERVAL: Final[Seconds] = 0.1
 
 DemandKey = tuple[ServiceName, WeightsKey]
--- a/src/kestreltally/placing/enginestate.py
+++ b/src/kestreltally/placing/enginestate.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingUnload:
-    """An unload that was ordered, with the engine's order count if it was accepted."""
+    """An unload that was ordered, and the engine's order count once it is accepted."""
 
     sequence: int
     ordered_at: Seconds
@@ -153,7 +153,7 @@
         return any(not key.adapter for key in self.weights)
 
     def make_endpoint(self) -> Endpoint:
-        """Return the engine's entry for the other daemons.
+        """Return the endpoint as it is published to the other daemons.
 
         An engine that does not answer is shown without weights, so that these are
         loaded elsewhere.
--- a/src/kestreltally/placing/handover.py
+++ b/src/kestreltally/placing/handover.py
@@ -1,8 +1,8 @@
 """Hands over loads of adapters to leaders of other data centres.
 
 An engine that keeps a copy of an adapter loads it ten times as fast as another engine
-and at no cost, so a leader of such an engine is asked first, for a short time. If this
-leader's engines have no free place, a leader with free capacity is asked.
+and at no cost. So the leader of such an engine is asked first, for a short time. If the
+engines of this leader have no free place, a leader with free capacity is asked.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -15,8 +15,8 @@
 
 # How long another leader may take to load an adapter of which its engines keep a copy.
 HANDOVER_TIMEOUT: Final[Seconds] = 0.2
-# How long a leader with free capacity may take: the request and the resulting row take
-# about 0.1 s on the way, and a load takes a quarter of a second.
+# How long a leader with free capacity may take: the request and the resulting row are
+# in transit for about 0.1 s, and a load takes a quarter of a second.
 FORWARD_TIMEOUT: Final[Seconds] = 0.6
 
 
@@ -32,8 +32,8 @@
     """The requested weights that leaders of other data centres are asked to load.
 
     ``get_free_capacity`` returns how many adapters each reachable leader could take,
-    ``can_load_quickly`` whether a leader loads adapters quickly; ``expedite`` has the
-    request sent to a leader at once.
+    ``can_load_quickly`` whether a leader loads kept copies quickly. ``expedite`` sends
+    the requests to a leader at once.
     """
 
     def __init__(self, fleet: Fleet, demand: DemandTable) -> None:
@@ -64,7 +64,7 @@
         return [*from_copies, *forwarded]
 
     def update_requests(self, led_data_centres: set[str], now: Seconds) -> None:
-        """Update the requests: renew missing ones, drop expired and loaded ones."""
+        """Request waiting adapters of which copies are kept; drop obsolete requests."""
         previous, self._copy_sources = self._copy_sources, {}
         for demand_key, row in self._demand.waiting.items():
             if not row.count_waiting(now) or now - row.waiting_since > HANDOVER_TIMEOUT:
--- a/src/kestreltally/placing/leader.py
+++ b/src/kestreltally/placing/leader.py
@@ -1,4 +1,4 @@
-"""The leader: tracks the state of its engines, plans loads and orders them."""
+"""The leader: tracks the state of its engines, and plans and orders loads."""
 
 import asyncio
 import logging
@@ -99,8 +99,8 @@
         self._led_data_centres: set[str] = set()
         self._wake = asyncio.Event()
         self.missing = 0
-        # The adapters that the led engines could take: what remains after the missing
-        # ones, and in all.
+        # How many adapters the led engines could take: after the missing ones, and in
+        # total.
         self.free_capacity = 0
         self.available_places = 0
         # Returns the adapters in use by any daemon, with their engines.
@@ -223,7 +223,10 @@
         )
 
     def list_unmet(self) -> list[WeightsDemand]:
-        """Return waiting demand that no engine holds, for a leader that can order."""
+        """Return waiting demand for weights that no engine holds.
+
+        It is reported to another leader while this one cannot give orders.
+        """
         now = self._clock()
         return [
             make_waiting(service, key, row.count_waiting(now))
@@ -349,7 +352,7 @@
         return bool(state.pending_unloads) and since >= REPORT_INTERVAL
 
     def _accepts_adapters(self, state: EngineState, now: Seconds) -> bool:
-        """Return whether an engine accepts adapters, if not at this very moment."""
+        """Return whether an engine accepts adapters, even if it is busy at present."""
         return (
             state.sequence is not None
             and all(key.adapter for key in state.pending_loads)
--- a/src/kestreltally/placing/lease.py
+++ b/src/kestreltally/placing/lease.py
@@ -44,16 +44,16 @@
 RENEW_INTERVAL: Final[Seconds] = 1.0
 RENEW_RETRY_DELAY: Final[Seconds] = 0.2
 # Longer than the usual outages of the store (3 to 5 s in simulations), during which
-# nobody could take over. After the loss of a holder its successor waits longer by as
-# much, but leaders of other data centres load adapters in that time, and a restart on
-# the same VM does not wait.
+# nobody could take over. A longer validity lets the successor of a lost holder wait
+# longer, but leaders of other data centres load adapters in that time, and a daemon
+# that restarts on the same VM does not wait.
 VALIDITY: Final[Seconds] = 6.0
 # An unchanged lease can be taken after this. A shorter delay would gain nothing, as a
 # successor waits for the end of the validity in any case.
 TAKEOVER_DELAY: Final[Seconds] = 5.0
 TAKEOVER_JITTER: Final[Seconds] = 0.4
-# For this long a released lease is left to a daemon restarted on the same VM. The gap
-# that other daemons must keep elapses in the same time.
+# For this long a released lease is left to a daemon restarted on the same VM. The
+# minimum gap that other daemons must wait for elapses in the same time.
 RELEASED_WAIT: Final[Seconds] = 2.8
 # For this long, daemons of other data centres leave a lease to those of its own.
 REMOTE_WAIT: Final[Seconds] = 3.0
@@ -246,8 +246,8 @@
     ) -> bool:
         """Return whether nobody else can hold the lease after a restore of the store.
 
-        A daemon that took it in the lost seconds had observed it unchanged for
-        ``TAKEOVER_DELAY``, which a renewal answered since rules out.
+        A daemon that took it in the seconds that the store lost must have observed it
+        unchanged for ``TAKEOVER_DELAY``. A renewal within that time rules this out.
         """
         renewed_at = self._valid_until - VALIDITY
         if not self.leads or now >= renewed_at + TAKEOVER_DELAY:
@@ -257,13 +257,13 @@
         return found.era < self._store.era and found.fence < record.fence
 
     def _resolve_conflict(self, conflict: Conflict, updated: LeaseRecord) -> None:
-        """Distinguish an own write whose answer was lost from another daemon's."""
+        """Distinguish this daemon's write whose answer was lost from another's."""
         current = conflict.current
         found = LeaseRecord.decode(current.content) if current is not None else None
         if current is None or found is None or found.boot != self._boot:
             self._record_lost(f"taken by {found.holder if found else 'nobody'}")
             return
-        # An own earlier renewal: it proves nothing about the time of this one.
+        # An earlier renewal by this daemon proves nothing about the time of this one.
         self.record = replace(updated, renewals=max(found.renewals, updated.renewals))
         self._observe(current.revision)
 
--- a/src/kestreltally/placing/leasemonitor.py
+++ b/src/kestreltally/placing/leasemonitor.py
@@ -14,9 +14,9 @@
 
 LOG = logging.getLogger("kestreltally.lease")
 
-# How often a daemon without a leader reads the leases, and how many such reads per
-# second suffice for all daemons of a data centre together: the first daemon to see a
-# free lease takes it, and its address spreads over the feed.
+# How often a daemon without a leader reads the leases. All daemons of a data centre
+# together need at most MAX_READS_PER_SECOND: the first one that sees a free lease takes
+# it, and its address spreads over the feed.
 READ_INTERVAL: Final[Seconds] = 0.3
 MAX_READ_INTERVAL: Final[Seconds] = 2.0
 MAX_READS_PER_SECOND: Final = 20.0
--- a/src/kestreltally/placing/loads.py
+++ b/src/kestreltally/placing/loads.py
@@ -1,4 +1,4 @@
-"""Executes the leader's plans: unloads, loads and polling for their end."""
+"""Executes the leader's plans: orders unloads and loads, and polls until they end."""
 
 import asyncio
 import logging
@@ -59,15 +59,16 @@
     COPY = "copy"
     # The engine was expected to keep a copy and did not.
     COPY_GONE = "copy_gone"
-    # Another engine was expected to keep a copy but was busy or not led by this daemon.
+    # Another engine was expected to keep a copy, but it was busy or not led by this
+    # daemon.
     COPY_ELSEWHERE = "copy_elsewhere"
 
 
 class Loader:
-    """Runs work on engines, one task per engine at a time.
+    """Runs orders on engines, one task per engine at a time.
 
-    ``placing`` holds the weights being placed; ``load_time`` is the moving mean of
-    load times from the weight store.
+    ``placing`` holds the weights that are being placed, from the eviction to the order
+    of the load. ``load_time`` is the moving mean of load times from the weight store.
     """
 
     def __init__(
@@ -109,7 +110,7 @@
     async def _run_guarded(
         self, state: EngineState, work: Coroutine[Any, Any, None]
     ) -> None:
-        """Run work on an engine; after a missing answer, require a report first."""
+        """Run a task on an engine; a missing answer requires a report before orders."""
         try:
             await work
         except EngineUnresponsive as error:
@@ -164,7 +165,8 @@
     ) -> None:
         """Poll a load until it has ended.
 
-        ``evictions_ago`` is how many evictions ago the engine held the adapter, if recently.
+        ``evictions_ago`` is the number of evictions on the engine since it held the
+        adapter, None if that is not known.
         """
         started_at = self._clock()
         fast = self._fleet.copies.is_retained(evictions_ago)
@@ -220,7 +222,7 @@
         self.origins[origin] += 1
 
     async def place(self, state: EngineState, placement: Placement) -> None:
-        """Order a load, preceded by the unload of its victim, if any."""
+        """Order a load, preceded by the unload of the adapter to be evicted, if any."""
         self.placing.add(placement.key)
         try:
             await self._evict_and_load(state, placement)
@@ -234,7 +236,7 @@
             self._publish(state.make_endpoint())
             outcome = await self._client.order(state, OrderKind.UNLOAD, victim)
             if outcome is not OrderOutcome.DONE:
-                # The unload waits for its runs, or the state was wrong: the next report
-                # decides.
+                # The adapter is still in use, or the known state was wrong. The next
+                # report shows which.
                 return
         await self.load(state, placement.key)
--- a/src/kestreltally/placing/orders.py
+++ b/src/kestreltally/placing/orders.py
@@ -2,7 +2,7 @@
 
 An order names the engine's incarnation and its expected order count, so an order that
 arrives late or reaches another incarnation has no effect. The effect of an unanswered
-order is learned from reports; until then its place counts as occupied.
+order is known from the next report; until then the adapter's place counts as occupied.
 """
 
 import asyncio
--- a/src/kestreltally/placing/planner.py
+++ b/src/kestreltally/placing/planner.py
@@ -26,7 +26,7 @@
 # The saving per request served in its own data centre, as a fraction of a request's
 # cost: the cost of its traffic between data centres.
 LOCAL_GAIN: Final = 0.12
-# A replica pays off if it saves the cost of its load (0.7 of a request) within 10 s.
+# A replica is worthwhile if it saves the cost of its load (0.7 of a request) in 10 s.
 MIN_REPLICA_RATE: Final = 0.7
 # A batch slot serves about this many requests per second of one adapter while the batch
 # has slots for others (14 per second with a batch of 32).
@@ -40,8 +40,8 @@
 # a third of a request.
 WARM_GAIN: Final[Seconds] = 0.5
 # An engine with a copy that is processing another order is free again after 10 to
-# 100 ms; a load from the store takes longer. So the adapter is held back for it, at
-# most as long as such a load takes.
+# 100 ms; a load from the weight store takes longer. So the load waits for that engine,
+# but no longer than a load from the weight store takes.
 BUSY_DELAY: Final[Seconds] = 0.1
 MAX_COPY_WAIT: Final[Seconds] = 0.25
 # The cost of an eviction per unit of the victim's score: the victim will be requested
@@ -97,8 +97,8 @@
     """A requested adapter.
 
     Of the requests ``waiting``, ``within_objective`` can still meet their objective.
-    ``holders`` and ``loading`` count engines by data centre; ``saturated`` means that the
-    batches of all holders are full. ``batch`` is the batch size of one engine;
+    ``holders`` and ``loading`` count engines by data centre; ``saturated`` means that
+    the batches of all holders are full. ``batch`` is the batch size of one engine;
     ``waited`` is how long the first request has waited. ``leaving`` means that a
     leaving engine holds the adapter: at a high rate, it is loaded elsewhere before any
     request waits for it.
@@ -134,7 +134,7 @@
 
 
 def register_planner(name: str) -> Callable[[P], P]:
-    """Register a planner under a name."""
+    """Return a decorator that registers a planner under a name."""
 
     def decorate(planner: P) -> P:
         PLANNERS[name] = planner
@@ -163,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Candidate:
-    """A useful load: for which data centre, and its score."""
+    """A load worth ordering, the data centre that needs it, and its score."""
 
     key: WeightsKey
     data_centre: str | None
--- a/src/kestreltally/placing/views.py
+++ b/src/kestreltally/placing/views.py
@@ -70,8 +70,8 @@
     ) -> list[RequestedAdapter]:
         """Return the adapters that may be loaded: with waiting requests or high rates.
 
-        Adapters being handled already are left out. All others, which are most of the
-        recently requested adapters, do not affect the plan.
+        Adapters that are already being loaded or handed over are left out. All other
+        recently requested adapters, which are most of them, do not affect the plan.
         """
         distribution = self._compute_distribution()
         requested = []
