--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -151,7 +151,7 @@
     arrived = ConfigArrived(
         after=0,
         revision=adapters + endpoints,
-        whole=True,
+        complete=True,
         objects=tuple(objects),
         confirmed_at=world.now,
     )
@@ -165,7 +165,7 @@
     name = EndpointId(endpoint)
     record = LeaderRecord(name, world.identity.vm, 1, 1, "c", 1)
     world.leaders.records[name] = record
-    world.leaders.led[name] = LedEndpoint(
+    world.leaders.led_endpoints[name] = LedEndpoint(
         endpoint=name,
         record=record,
         phase=Phase.FENCED,
--- a/src/kestreltally/daemon.py
+++ b/src/kestreltally/daemon.py
@@ -172,10 +172,10 @@
         self._runtime.post(StopRequested())
         await asyncio.sleep(self._settings.stop_notice)
         loop = asyncio.get_running_loop()
-        limit = loop.time() + self._settings.stop_limit
-        while loop.time() < limit:
+        deadline = loop.time() + self._settings.stop_limit
+        while loop.time() < deadline:
             others = len(list_eligible(world))
-            handed_over = not world.leaders.led or not others
+            handed_over = not world.leaders.led_endpoints or not others
             if handed_over and not self._requests.live and not world.entry.held:
                 break
             await asyncio.sleep(STOP_POLL_INTERVAL)
@@ -183,7 +183,7 @@
         LOG.info(
             "daemon: planned stop ends with %d requests and %d endpoints left",
             len(self._requests.live),
-            len(world.leaders.led),
+            len(world.leaders.led_endpoints),
         )
 
     async def close(self) -> None:
--- a/src/kestreltally/entry/api.py
+++ b/src/kestreltally/entry/api.py
@@ -248,7 +248,7 @@
                 took=now - call.started_at,
                 waited=call.progress.waited,
                 first=first - call.started_at if first is not None else None,
-                errors=tuple(
+                prediction_errors=tuple(
                     each.predicted - each.actual for each in call.progress.predictions
                 ),
             )
--- a/src/kestreltally/entry/finder.py
+++ b/src/kestreltally/entry/finder.py
@@ -102,10 +102,10 @@
         self._request_credits(request, None)
         while True:
             now = loop.time()
-            candidates = self._fleet.list_service(request.service_name, now)
+            candidates = self._fleet.list_callable(request.service_name, now)
             if candidates:
                 return self._choose_endpoint(request, progress, candidates, now)
-            backoff = self._fleet.find_next_backoff(request.service_name, None, now)
+            backoff = self._fleet.find_shortest_backoff(request.service_name, None, now)
             if backoff is None or progress.runs:
                 progress.last_fault = progress.last_fault or "no endpoint available"
                 raise make_final_error(progress)
@@ -171,7 +171,7 @@
         """Return whether any endpoint can be called now."""
         now = asyncio.get_running_loop().time()
         if key is None:
-            return bool(self._fleet.list_service(service, now))
+            return bool(self._fleet.list_callable(service, now))
         return bool(self._fleet.list_holders(service, key, now))
 
     def _make_waiter(self, request: ClientRequest) -> Waiter:
@@ -193,7 +193,7 @@
         if progress.runs:
             raise make_final_error(progress)
         wait = self.load_wait if self.load_wait is not None else MAX_RETRY_DELAY
-        backoff = self._fleet.find_next_backoff(request.service_name, key, now)
+        backoff = self._fleet.find_shortest_backoff(request.service_name, key, now)
         is_loading = self._fleet.is_loading(request.service_name, key, now)
         ready_at = now + (0.0 if is_loading else min(wait, backoff or wait))
         if ready_at > self._compute_ready_deadline(
--- a/src/kestreltally/entry/outcomes.py
+++ b/src/kestreltally/entry/outcomes.py
@@ -42,7 +42,7 @@
             self._completed[each.endpoint] += each.completed
             self._failed[each.endpoint] += each.failed
 
-    def take(self) -> list[Outcome]:
+    def pop(self) -> list[Outcome]:
         """Return and clear the counts since the last call."""
         counts = [
             Outcome(endpoint, self._completed[endpoint], self._failed[endpoint])
--- a/src/kestreltally/entry/progress.py
+++ b/src/kestreltally/entry/progress.py
@@ -8,7 +8,7 @@
 from kestreltally.entry.events import EventReader
 from kestreltally.entry.request import Refused
 from kestreltally.fleet.model import EndpointId, Seconds
-from kestreltally.poison.crashes import Attempt
+from kestreltally.poison.crash_detector import Attempt
 
 BAD_GATEWAY: Final = 502
 UNAVAILABLE: Final = 503
--- a/src/kestreltally/entry/relay.py
+++ b/src/kestreltally/entry/relay.py
@@ -112,7 +112,7 @@
         self.finder = EndpointFinder(data_centre, fleet, health)
         self._delivery = Delivery(health, budget)
         self.poison = PoisonGuard(lambda endpoint: health.get_row(endpoint).received_at)
-        self.poison.crashes.get_serving = self._get_serving
+        self.poison.crash_detector.get_serving = self._get_serving
         # Called with a prompt's token count when an endpoint starts or ends its
         # prefill.
         self.record_reading: Callable[[int], None] = lambda _: None
@@ -256,7 +256,7 @@
         try:
             channel = await self._connect(request, endpoint)
             progress.sends += 1
-            progress.attempt = self.poison.crashes.start(request, endpoint)
+            progress.attempt = self.poison.crash_detector.start(request, endpoint)
             answer = await self._send_request(
                 request, progress, endpoint, channel, token, urgency
             )
@@ -285,7 +285,7 @@
 
     def _end_attempt(self, progress: Progress) -> None:
         if progress.attempt is not None:
-            self.poison.crashes.end(progress.attempt)
+            self.poison.crash_detector.end(progress.attempt)
             progress.attempt = None
 
     def _record_use(
@@ -302,7 +302,7 @@
             return await self._pool.acquire(endpoint)
         except NotConnected as error:
             if error.refused:
-                self.poison.crashes.record_refused(endpoint)
+                self.poison.crash_detector.record_refused(endpoint)
             self._delivery.record_failure(endpoint, str(error))
             self._record_unreachable(request, endpoint)
             raise AttemptFailed(
@@ -315,7 +315,7 @@
         if key is None or request.service.engine is None:
             return
         now = asyncio.get_running_loop().time()
-        self._fleet.record_absent(endpoint.id, key, now)
+        self._fleet.record_missing_weights(endpoint.id, key, now)
         self.finder.demand.record_refused(endpoint.id, key)
         self.finder.expedite()
 
@@ -414,10 +414,10 @@
         if answer.status == MISDIRECTED:
             instance = read_instance(answer.headers)
             if instance and instance != endpoint.id:
-                self.poison.crashes.record_replaced(endpoint)
+                self.poison.crash_detector.record_replaced(endpoint)
                 self._fleet.drop_endpoint(endpoint.id)
             elif key is not None:
-                self._fleet.record_absent(endpoint.id, key, now)
+                self._fleet.record_missing_weights(endpoint.id, key, now)
                 self.finder.demand.record_refused(endpoint.id, key)
                 self.finder.expedite()
         try:
--- a/src/kestreltally/fleet/model.py
+++ b/src/kestreltally/fleet/model.py
@@ -173,7 +173,7 @@
 class Endpoint:
     """One incarnation of an engine or a plain service, as it registers itself.
 
-    An engine may be restarted under the same id. ``born`` is the start time in Unix
+    An engine may be restarted under the same id. ``start_time_ms`` is the start time in Unix
     milliseconds, 0 if unknown. ``weights`` maps the weights it holds to their versions,
     and ``loading`` names the weights being loaded. ``quarantined`` means that its
     leader excludes it for a while, because requests of many daemons failed there.
@@ -189,7 +189,7 @@
     weights: dict[WeightsKey, int]
     loading: frozenset[WeightsKey] = frozenset()
     quarantined: bool = False
-    born: int = 0
+    start_time_ms: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -218,21 +218,21 @@
 
     ``backoff`` is the remaining time, requested from the reporting daemon. ``limit`` is
     the current limit, of version ``limit_version``, which is 0 if no limit was ever
-    named. ``turn_wait`` is how long a call waits for its credit, as leaders report it.
+    named. ``credit_wait`` is how long a call waits for its credit, as leaders report it.
     """
 
     endpoint: EndpointId
-    born: int
+    start_time_ms: int
     leaves: bool
     backoff: Seconds
     limit: float | None = None
     limit_version: int = 0
-    turn_wait: Seconds = 0.0
+    credit_wait: Seconds = 0.0
 
 
 def is_other_incarnation(known: int, reported: int) -> bool:
     """Return whether a report on an endpoint concerns another incarnation of it.
 
-    Incarnations are distinguished by ``born``; an unknown one (0) matches any.
+    Incarnations are distinguished by ``start_time_ms``; an unknown one (0) matches any.
     """
     return bool(known and reported) and known != reported
--- a/src/kestreltally/fleet/notices.py
+++ b/src/kestreltally/fleet/notices.py
@@ -80,7 +80,7 @@
     a named time, and ``default_backoff`` is the last backoff applied for them.
     """
 
-    born: int
+    start_time_ms: int
     recorded_at: Seconds
     leaves: bool = False
     recovering: bool = False
@@ -158,7 +158,7 @@
         if notice == EMPTY_NOTICE:
             row = self._get_row(endpoint)
         else:
-            row = self._ensure_row(endpoint.id, endpoint.born, now)
+            row = self._ensure_row(endpoint.id, endpoint.start_time_ms, now)
         if row is None:
             return
         sent_at = now if sent_at is None else sent_at
@@ -224,26 +224,28 @@
         row.recovering = row.max_in_flight < MAX_TRIALS
 
     def _ensure_row(
-        self, endpoint: EndpointId, born: int, now: Seconds
+        self, endpoint: EndpointId, start_time_ms: int, now: Seconds
     ) -> _EndpointState | None:
         """Return the row of an incarnation, None if a later one is known.
 
         A late answer of an earlier incarnation says nothing about the current one.
         """
         row = self._rows.get(endpoint)
-        if row is not None and is_other_incarnation(row.born, born):
-            if born < row.born:
+        if row is not None and is_other_incarnation(row.start_time_ms, start_time_ms):
+            if start_time_ms < row.start_time_ms:
                 return None
             row = None
         if row is None:
-            row = self._rows[endpoint] = _EndpointState(born, now)
+            row = self._rows[endpoint] = _EndpointState(start_time_ms, now)
         row.recorded_at = max(row.recorded_at, now)
         return row
 
     def _get_row(self, endpoint: Endpoint) -> _EndpointState | None:
         """Return the row of this incarnation of an endpoint."""
         row = self._rows.get(endpoint.id)
-        if row is None or is_other_incarnation(row.born, endpoint.born):
+        if row is None or is_other_incarnation(
+            row.start_time_ms, endpoint.start_time_ms
+        ):
             return None
         return row
 
@@ -257,7 +259,7 @@
         if row is not None and row.leaves:
             return endpoint if endpoint.leaving else replace(endpoint, leaving=True)
         if endpoint.leaving:
-            row = self._ensure_row(endpoint.id, endpoint.born, NEVER)
+            row = self._ensure_row(endpoint.id, endpoint.start_time_ms, NEVER)
             if row is not None:
                 row.leaves = True
         return endpoint
@@ -320,26 +322,28 @@
 
     def is_rate_limited(self, endpoint: Endpoint) -> bool:
         """Return whether an endpoint has a rate limit."""
-        return self.get_rate_limit(endpoint.id, endpoint.born) is not None
+        return self.get_rate_limit(endpoint.id, endpoint.start_time_ms) is not None
 
     def list_rate_limits(self) -> list[tuple[EndpointId, int, RateLimitState]]:
         """Return the endpoints with a rate limit, with their start times."""
         return [
-            (name, row.born, row.rate_limit)
+            (name, row.start_time_ms, row.rate_limit)
             for name, row in self._rows.items()
             if row.rate_limit.limit is not None and not row.leaves
         ]
 
-    def get_rate_limit(self, endpoint: EndpointId, born: int) -> RateLimitState | None:
+    def get_rate_limit(
+        self, endpoint: EndpointId, start_time_ms: int
+    ) -> RateLimitState | None:
         """Return the rate limit of an incarnation, None if there is none."""
         row = self._rows.get(endpoint)
-        if row is None or is_other_incarnation(row.born, born):
+        if row is None or is_other_incarnation(row.start_time_ms, start_time_ms):
             return None
         return row.rate_limit if row.rate_limit.limit is not None else None
 
     def record_demand(self, endpoint: Endpoint, now: Seconds) -> None:
         """Record a call that would be made if a credit were available."""
-        limit = self.get_rate_limit(endpoint.id, endpoint.born)
+        limit = self.get_rate_limit(endpoint.id, endpoint.start_time_ms)
         if limit is not None:
             limit.demand.add(1, now)
 
@@ -349,7 +353,8 @@
     ) -> Iterator[None]:
         """Count a request that waits for a credit of any of some endpoints."""
         found = (
-            (each.id, self.get_rate_limit(each.id, each.born)) for each in endpoints
+            (each.id, self.get_rate_limit(each.id, each.start_time_ms))
+            for each in endpoints
         )
         limits = [(name, limit) for name, limit in found if limit is not None]
         for name, limit in limits:
@@ -372,12 +377,12 @@
                 known.append(
                     KnownNotice(
                         endpoint=name,
-                        born=row.born,
+                        start_time_ms=row.start_time_ms,
                         leaves=row.leaves,
                         backoff=backoff,
                         limit=row.rate_limit.limit,
                         limit_version=row.rate_limit.version,
-                        turn_wait=row.rate_limit.wait,
+                        credit_wait=row.rate_limit.wait,
                     )
                 )
         return known
@@ -397,7 +402,7 @@
             self.apply_reported_limit(each, now)
             if not each.leaves and not each.backoff:
                 continue
-            row = self._ensure_row(each.endpoint, each.born, now)
+            row = self._ensure_row(each.endpoint, each.start_time_ms, now)
             if row is None:
                 continue
             if each.leaves:
@@ -412,10 +417,12 @@
         """
         if reported.limit is None:
             row = self._rows.get(reported.endpoint)
-            if row is None or is_other_incarnation(row.born, reported.born):
+            if row is None or is_other_incarnation(
+                row.start_time_ms, reported.start_time_ms
+            ):
                 return
         else:
-            row = self._ensure_row(reported.endpoint, reported.born, now)
+            row = self._ensure_row(reported.endpoint, reported.start_time_ms, now)
             if row is None:
                 return
         before = row.rate_limit.limit
--- a/src/kestreltally/fleet/rate_limits.py
+++ b/src/kestreltally/fleet/rate_limits.py
@@ -69,17 +69,17 @@
 class RateLimitState:
     """The rate limit of one incarnation of an endpoint.
 
-    ``known_at`` is when this daemon learned the current limit, ``wait`` how long a call
-    waits for a credit according to the issuer, and ``named_in_calls`` whether answers
+    ``learned_at`` is when this daemon learned the current limit, ``wait`` how long a call
+    waits for a credit according to the issuer, and ``named_in_control_calls`` whether answers
     to reports and orders name the limit too. ``credits`` holds the expiry times of the
     available credits; ``waiting`` counts the requests that wait for one, by urgency.
     """
 
     limit: float | None = None
     version: int = 0
-    known_at: Seconds = NEVER
+    learned_at: Seconds = NEVER
     wait: Seconds = 0.0
-    named_in_calls: bool = False
+    named_in_control_calls: bool = False
     credits: list[Seconds] = field(default_factory=list)
     waiting: Counter[int] = field(default_factory=Counter)
     demand: RateMeter = field(default_factory=lambda: RateMeter(DEMAND_TIME, 0.0))
@@ -102,12 +102,12 @@
         if notice.malformed:
             return False
         if notice.limit is None:
-            ends_limit = self.limit is not None and sent_at >= self.known_at
-            if not ends_limit or not (from_request or self.named_in_calls):
+            ends_limit = self.limit is not None and sent_at >= self.learned_at
+            if not ends_limit or not (from_request or self.named_in_control_calls):
                 return False
         else:
-            self.named_in_calls |= not from_request
-            late = sent_at < self.known_at
+            self.named_in_control_calls |= not from_request
+            late = sent_at < self.learned_at
             if notice.limit == self.limit:
                 return False
             if late and not is_stricter(notice.limit, self.limit):
@@ -124,7 +124,7 @@
     def _update(self, limit: float | None, version: int, now: Seconds) -> bool:
         before, self.limit = self.limit, limit
         self.version = version
-        self.known_at = now
+        self.learned_at = now
         if limit is None:
             self.credits.clear()
         if before is None or limit is None:
@@ -175,18 +175,20 @@
         """Return how many more credits are required, by urgency."""
         if self.limit is None:
             return {}
-        pace = min(self.rate, self.demand.read(now))
-        prefetched = math.ceil(pace * PREFETCH_TIME) if pace >= MIN_RATE else 0
+        call_rate = min(self.rate, self.demand.read(now))
+        prefetched = (
+            math.ceil(call_rate * PREFETCH_TIME) if call_rate >= MIN_RATE else 0
+        )
         # A waiting request may have been woken without having used its credit yet.
         available = self._count_credits(now)
         required = {}
         for urgency, count in sorted(
             {**self.waiting, PREFETCH_URGENCY: prefetched}.items()
         ):
-            met = min(count, available)
-            available -= met
-            if count > met:
-                required[urgency] = count - met
+            covered = min(count, available)
+            available -= covered
+            if count > covered:
+                required[urgency] = count - covered
         return required
 
     def is_constrained(self) -> bool:
--- a/src/kestreltally/fleet/tables.py
+++ b/src/kestreltally/fleet/tables.py
@@ -21,7 +21,7 @@
 
 # How long an engine's answer that it lacks some weights overrides the tables: two
 # rounds of the leader's feed plus an engine's report, which is about 200 ms old.
-ABSENT_DURATION: Final[Seconds] = 0.6
+MISSING_WEIGHTS_DURATION: Final[Seconds] = 0.6
 # How long an older version may still be used while the newer one is loading. The
 # operators allow 5 s from the store's answer, which is known up to 1 s late.
 OLD_VERSION_GRACE: Final[Seconds] = 2.5
@@ -75,7 +75,7 @@
         self.versions: dict[WeightsKey, KnownVersion] = {}
         self._by_service: dict[ServiceName, set[EndpointId]] = defaultdict(set)
         self._holders: dict[WeightsKey, set[EndpointId]] = defaultdict(set)
-        self._absent_until: dict[tuple[EndpointId, WeightsKey], Seconds] = {}
+        self._missing_until: dict[tuple[EndpointId, WeightsKey], Seconds] = {}
         self.copies = CopyTable()
         self.notices = NoticeTable()
 
@@ -86,8 +86,8 @@
             return False
         self.configuration = configuration
         self.routes = RouteTable.build(configuration.routes)
-        named = configuration.organisations
-        self.keys = KeyTable(named) if named else None
+        listed = configuration.organisations
+        self.keys = KeyTable(listed) if listed else None
         return True
 
     def get_service(self, name: ServiceName) -> ServiceSpec | None:
@@ -140,7 +140,7 @@
         """Return the endpoints of a service that are leaving."""
         return [each for each in self._list_known(service) if each.leaving]
 
-    def list_service(self, service: ServiceName, now: Seconds) -> list[Endpoint]:
+    def list_callable(self, service: ServiceName, now: Seconds) -> list[Endpoint]:
         """Return the endpoints of a service to call, without quarantined ones.
 
         Quarantined endpoints are used if there is no other. An endpoint that asked for
@@ -157,7 +157,7 @@
         """Return whether an endpoint is backing off but not leaving."""
         return 0 < self.notices.compute_backoff(endpoint, now) < FOREVER
 
-    def find_next_backoff(
+    def find_shortest_backoff(
         self, service: ServiceName, key: WeightsKey | None, now: Seconds
     ) -> Seconds | None:
         """Return the shortest backoff of endpoints that could serve otherwise.
@@ -216,7 +216,7 @@
             each
             for each in found
             if _accepts_work(each, service)
-            and self._absent_until.get((each.id, key), now) <= now
+            and self._missing_until.get((each.id, key), now) <= now
             and not self.is_outdated(each, key, now)
         ]
 
@@ -225,12 +225,12 @@
 
         Quarantined endpoints are returned only if there is no other.
         """
-        useful = [
+        usable = [
             each
             for each in self._list_known(service)
             if not each.leaving and not self.notices.is_constrained(each, now)
         ]
-        return [each for each in useful if not each.quarantined] or useful
+        return [each for each in usable if not each.quarantined] or usable
 
     def is_held(self, service: ServiceName, key: WeightsKey, now: Seconds) -> bool:
         """Return whether all daemons, as far as known, can use some weights."""
@@ -239,18 +239,18 @@
 
     def is_loading(self, service: ServiceName, key: WeightsKey, now: Seconds) -> bool:
         """Return whether an engine of a service is loading some weights."""
-        return any(key in each.loading for each in self.list_service(service, now))
+        return any(key in each.loading for each in self.list_callable(service, now))
 
-    def record_absent(
+    def record_missing_weights(
         self, endpoint: EndpointId, key: WeightsKey, now: Seconds
     ) -> None:
         """Record that an engine has refused a request because it lacks weights."""
-        self._absent_until[(endpoint, key)] = now + ABSENT_DURATION
+        self._missing_until[(endpoint, key)] = now + MISSING_WEIGHTS_DURATION
 
-    def prune_absences(self, now: Seconds) -> None:
-        """Remove expired records of ``record_absent``."""
-        self._absent_until = {
-            k: until for k, until in self._absent_until.items() if until > now
+    def prune_missing_weights(self, now: Seconds) -> None:
+        """Remove expired records of ``record_missing_weights``."""
+        self._missing_until = {
+            k: until for k, until in self._missing_until.items() if until > now
         }
 
     def apply_version(self, key: WeightsKey, number: int, now: Seconds) -> bool:
--- a/src/kestreltally/fleet_daemon.py
+++ b/src/kestreltally/fleet_daemon.py
@@ -217,7 +217,7 @@
         }
 
     def _make_leader(self) -> Leader:
-        caller = EngineClient(
+        client = EngineClient(
             self._control_pool,
             self._deployment.vm,
             self._exchange.get_lease,
@@ -227,7 +227,7 @@
             self._fleet,
             self._leases,
             self._exchange.get_lease,
-            caller,
+            client,
             self._deployment.bounds,
             self._clock,
             self._exchange.rows.put_row,
@@ -243,10 +243,10 @@
         return leader
 
     def _make_watch(
-        self, kind: str, follower: WatchHandler, gap: Seconds, wait: Seconds
+        self, kind: str, handler: WatchHandler, gap: Seconds, wait: Seconds
     ) -> KindWatch:
         return KindWatch(
-            self._store, kind, follower, gap, wait, self._count_watchers, self._clock
+            self._store, kind, handler, gap, wait, self._count_watchers, self._clock
         )
 
     def _read_gauges(self) -> GaugeValues:
@@ -304,7 +304,7 @@
             self._exchange.expedite(primary)
 
     async def _run_maintenance(self) -> None:
-        cleaned_at = self._clock()
+        cleaned_up_at = self._clock()
         while True:
             await asyncio.sleep(MAINTENANCE_INTERVAL)
             now = self._clock()
@@ -320,9 +320,9 @@
             )
             self._endpoints.drop_expired()
             self._configuration.apply_pending()
-            self._fleet.prune_absences(now)
-            if now >= cleaned_at + CLEANUP_INTERVAL:
-                cleaned_at = now
+            self._fleet.prune_missing_weights(now)
+            if now >= cleaned_up_at + CLEANUP_INTERVAL:
+                cleaned_up_at = now
                 self._relay.poison.run_maintenance()
                 self._fleet.notices.prune_old(self._fleet.endpoints, now)
                 self._exchange.rows.tombstones.prune_old(now)
@@ -337,14 +337,16 @@
         endpoint watch running.
         """
         leads = self._exchange.leaders.leads
-        fed = self._exchange.leaders.has_fresh_feed() or self._is_first_leader_pending()
-        needed = leads or not fed
+        has_feed = (
+            self._exchange.leaders.has_fresh_feed() or self._is_first_leader_pending()
+        )
+        needed = leads or not has_feed
         if needed and not self._endpoints_watch.enabled:
             self._endpoints.seed(self._fleet.endpoints.values())
         self._endpoints_watch.set_enabled(needed)
-        others = needed and (leads or not self._endpoints_watch.failing)
-        self._configuration_watch.set_enabled(others)
-        self._versions_watch.set_enabled(others)
+        others_needed = needed and (leads or not self._endpoints_watch.failing)
+        self._configuration_watch.set_enabled(others_needed)
+        self._versions_watch.set_enabled(others_needed)
 
     def _needs_configuration_read(self) -> bool:
         """Return whether this daemon must read the configuration to confirm its age.
--- a/src/kestreltally/fleet_metrics.py
+++ b/src/kestreltally/fleet_metrics.py
@@ -35,7 +35,7 @@
     """How a request ended: ``outcome`` is done, refused, broken_off or abandoned.
 
     ``first`` is the time to the first byte of the endpoint's answer, and ``waited`` the
-    time spent waiting for weights. ``errors`` holds the error of the predicted time to
+    time spent waiting for weights. ``prediction_errors`` holds the error of the predicted time to
     the first event, one value per answered send: positive if it was predicted too long,
     negative if too short.
     """
@@ -47,7 +47,7 @@
     took: Seconds
     waited: Seconds
     first: Seconds | None
-    errors: tuple[Seconds, ...] = ()
+    prediction_errors: tuple[Seconds, ...] = ()
     organisation: str = ""
 
 
@@ -121,7 +121,7 @@
         self._request_seconds.observe(labels, end.took)
         if end.first is not None:
             self._first_byte_seconds.observe(labels, end.first)
-        for error in end.errors:
+        for error in end.prediction_errors:
             direction = "too_long" if error > 0 else "too_short"
             self._prediction_errors.observe({**labels, "amiss": direction}, abs(error))
         if end.waited:
--- a/src/kestreltally/invariants.py
+++ b/src/kestreltally/invariants.py
@@ -33,7 +33,7 @@
     return name
 
 
-class InvariantBroken(AssertionError):
+class InvariantViolated(AssertionError):
     """An invariant was violated."""
 
 
@@ -42,20 +42,20 @@
     """The invariant checks of one daemon, with a count of violations."""
 
     raises: bool
-    broken: Counter[str] = field(default_factory=Counter)
+    violations: Counter[str] = field(default_factory=Counter)
     first_details: dict[str, str] = field(default_factory=dict)
 
     def require(self, name: str, holds: bool, detail: str) -> bool:
         """Check one invariant; return whether it held.
 
-        Raises ``InvariantBroken`` on a violation if the settings request it.
+        Raises ``InvariantViolated`` on a violation if the settings request it.
         """
         if holds:
             return True
         known = REGISTRY[name]
-        self.broken[name] += 1
+        self.violations[name] += 1
         self.first_details.setdefault(name, detail)
         LOG.error("invariant: %s is broken (%s): %s", name, known.promise, detail)
         if self.raises:
-            raise InvariantBroken(f"{name}: {detail}")
+            raise InvariantViolated(f"{name}: {detail}")
         return False
--- a/src/kestreltally/knowledge/credits.py
+++ b/src/kestreltally/knowledge/credits.py
@@ -131,13 +131,13 @@
         if not limits or not self._leaders.leads:
             return
         waits = []
-        for name, born, limit in limits:
+        for name, start_time_ms, limit in limits:
             known = self._fleet.endpoints.get(name)
             if known is None or not self._is_issuer(known):
                 continue
             self._local_holder.requested[name] = limit.list_requested(self._clock())
             parameters = self._choose_parameters(known, limit)
-            wait = self._issuer.issue(name, born, limit, parameters)
+            wait = self._issuer.issue(name, start_time_ms, limit, parameters)
             if wait is not None:
                 waits.append(wait)
         if waits:
@@ -157,7 +157,7 @@
         known = self._fleet.endpoints.get(endpoint)
         if known is None:
             return
-        limit = self._notices.get_rate_limit(endpoint, known.born)
+        limit = self._notices.get_rate_limit(endpoint, known.start_time_ms)
         if limit is not None and expires_at > self._clock():
             limit.credits.append(expires_at)
             self._local_holder.requested[endpoint] = limit.list_requested(self._clock())
@@ -274,11 +274,11 @@
     ) -> None:
         """Apply the wait for credits, from the issuer or forwarded by a leader."""
         known = self._fleet.endpoints.get(notice.endpoint)
-        limit = self._notices.get_rate_limit(notice.endpoint, notice.born)
+        limit = self._notices.get_rate_limit(notice.endpoint, notice.start_time_ms)
         if known is None or limit is None:
             return
         if is_followed or self._get_lease(known).data_centre in led_data_centres:
-            limit.wait = notice.turn_wait
+            limit.wait = notice.credit_wait
 
     def _apply_credits(self, data_centre: str, update: Any, sent_at: Seconds) -> None:
         for row in update.turns:
@@ -286,7 +286,11 @@
             expiry_times = [sent_at + lasts for lasts in row.lasts]
             self._received[data_centre][name] += len(expiry_times)
             known = self._fleet.endpoints.get(name)
-            limit = self._notices.get_rate_limit(name, known.born) if known else None
+            limit = (
+                self._notices.get_rate_limit(name, known.start_time_ms)
+                if known
+                else None
+            )
             if limit is None:
                 continue
             if self._leaders.leads:
--- a/src/kestreltally/knowledge/exchange.py
+++ b/src/kestreltally/knowledge/exchange.py
@@ -298,7 +298,7 @@
         ]
         report.uses = [encode_use(e, key, n) for (e, key), n in demand.uses.items()]
         report.refused = [encode_use(e, key, 1) for e, key in demand.pop_refused()]
-        report.outcomes = encode_outcomes(self._relay.health.outcomes.take())
+        report.outcomes = encode_outcomes(self._relay.health.outcomes.pop())
         spendings = self._limiter.pop_spendings()
         report.spendings = [encode_spending(each) for each in spendings]
 
@@ -434,7 +434,7 @@
         )
         for endpoint, key in demand.pop_refused():
             self._group.record_refused(endpoint, key)
-        self._group.apply_outcomes(self._relay.health.outcomes.take())
+        self._group.apply_outcomes(self._relay.health.outcomes.pop())
         self._group.apply_spendings(self._limiter.pop_spendings(), of_group=True)
         throttles = self._make_throttles()
         if throttles is not None:
--- a/src/kestreltally/knowledge/fleet_rows.py
+++ b/src/kestreltally/knowledge/fleet_rows.py
@@ -101,11 +101,11 @@
         An engine that restarts under its id has none of its previous weights, and a row
         of an earlier incarnation may arrive late.
         """
-        if not is_other_incarnation(known.born, endpoint.born):
+        if not is_other_incarnation(known.start_time_ms, endpoint.start_time_ms):
             return True
-        if endpoint.born < known.born:
+        if endpoint.start_time_ms < known.start_time_ms:
             return False
-        self._relay.poison.crashes.record_replaced(known)
+        self._relay.poison.crash_detector.record_replaced(known)
         self._fleet.drop_endpoint(known.id)
         self._relay.health.reset(known.id)
         self._relay.finder.prefill_times.remove(known.id)
@@ -116,7 +116,7 @@
         known = self._fleet.endpoints.get(endpoint)
         if known is not None:
             self.tombstones.record(known, as_of)
-            self._relay.poison.crashes.record_removed(known)
+            self._relay.poison.crash_detector.record_removed(known)
         leader = self._get_leader()
         if leader is not None:
             leader.drop_endpoint(endpoint)
@@ -147,7 +147,9 @@
             self._leaders.clients[lease.data_centre].is_alive() and not endpoint.leaving
         ):
             known = self._fleet.endpoints.get(endpoint.id)
-            if known is None or is_other_incarnation(known.born, endpoint.born):
+            if known is None or is_other_incarnation(
+                known.start_time_ms, endpoint.start_time_ms
+            ):
                 self.put_row(endpoint)
         else:
             self.put_row(endpoint)
--- a/src/kestreltally/knowledge/group.py
+++ b/src/kestreltally/knowledge/group.py
@@ -132,8 +132,8 @@
         """
         refused, self._refused[data_centre] = self._refused[data_centre], set()
         report.refused = [encode_use(e, key, 1) for e, key in refused]
-        report.outcomes = encode_outcomes(self._outcomes[data_centre].take())
-        spendings = self._spendings[data_centre].take(self._clock())
+        report.outcomes = encode_outcomes(self._outcomes[data_centre].pop())
+        spendings = self._spendings[data_centre].pop(self._clock())
         report.spendings = [encode_spending(each) for each in spendings]
         demand = [*handed_over, *self._pop_served_remotely(data_centre)]
         report.demand = [encode_demand(each) for each in demand]
--- a/src/kestreltally/knowledge/rows.py
+++ b/src/kestreltally/knowledge/rows.py
@@ -31,7 +31,7 @@
     WeightsVersion,
     WordRow,
 )
-from kestreltally.poison.facts import Clearing, Fact, Life, Sighting
+from kestreltally.poison.facts import Clearing, Fact, IncarnationName, Sighting
 from kestreltally.poison.fingerprints import Digest, Fingerprint
 from kestreltally.quotas.spending import Spending, Throttle
 
@@ -59,7 +59,7 @@
         weights=[encode_weights(k, v) for k, v in endpoint.weights.items()],
         loading=[encode_weights(k, 0) for k in endpoint.loading],
         spared=endpoint.quarantined,
-        born=endpoint.born,
+        born=endpoint.start_time_ms,
     )
 
 
@@ -76,7 +76,7 @@
         weights=dict(decode_weights(each) for each in row.weights or ()),
         loading=frozenset(decode_weights(each)[0] for each in row.loading or ()),
         quarantined=bool(row.spared),
-        born=row.born or 0,
+        start_time_ms=row.born or 0,
     )
 
 
@@ -121,12 +121,12 @@
     """Return the struct of an endpoint's notice."""
     return NoticeRow(
         endpoint=notice.endpoint,
-        born=notice.born,
+        born=notice.start_time_ms,
         leaves=notice.leaves,
         rest=notice.backoff,
         limit=notice.limit,
         limit_version=notice.limit_version,
-        turn_wait=notice.turn_wait,
+        turn_wait=notice.credit_wait,
     )
 
 
@@ -134,12 +134,12 @@
     """Return the notice of a struct."""
     return KnownNotice(
         endpoint=EndpointId(row.endpoint),
-        born=row.born or 0,
+        start_time_ms=row.born or 0,
         leaves=bool(row.leaves),
         backoff=row.rest or 0.0,
         limit=row.limit,
         limit_version=row.limit_version or 0,
-        turn_wait=row.turn_wait or 0.0,
+        credit_wait=row.turn_wait or 0.0,
     )
 
 
@@ -269,7 +269,7 @@
     return SightingRow(
         digest=sighting.fingerprint.digest,
         outline=sighting.fingerprint.outline,
-        life=sighting.life,
+        life=sighting.incarnation,
         sent_ago=now - sighting.sent_at,
         ended_ago=now - sighting.ended_at,
         answered=sighting.answered,
@@ -282,7 +282,7 @@
     facts: list[Fact] = [
         Sighting(
             fingerprint=Fingerprint(row.outline, Digest(row.digest)),
-            life=Life(row.life),
+            incarnation=IncarnationName(row.life),
             sent_at=now - row.sent_ago,
             ended_at=now - row.ended_ago,
             answered=bool(row.answered),
--- a/src/kestreltally/knowledge/tombstones.py
+++ b/src/kestreltally/knowledge/tombstones.py
@@ -17,7 +17,7 @@
 class _Tombstone:
     """A removed incarnation of an endpoint, as of a state of the store."""
 
-    born: int
+    start_time_ms: int
     as_of: Seconds
 
 
@@ -29,12 +29,14 @@
 
     def record(self, endpoint: Endpoint, as_of: Seconds) -> None:
         """Record that an endpoint is missing in the store as of a time."""
-        self._rows[endpoint.id] = _Tombstone(endpoint.born, as_of)
+        self._rows[endpoint.id] = _Tombstone(endpoint.start_time_ms, as_of)
 
     def is_removed(self, endpoint: Endpoint, as_of: Seconds) -> bool:
         """Return whether a row as of a time predates the removal of its endpoint."""
         row = self._rows.get(endpoint.id)
-        if row is None or is_other_incarnation(row.born, endpoint.born):
+        if row is None or is_other_incarnation(
+            row.start_time_ms, endpoint.start_time_ms
+        ):
             return False
         return as_of <= row.as_of
 
--- a/src/kestreltally/metrics.py
+++ b/src/kestreltally/metrics.py
@@ -53,8 +53,8 @@
         )
 
     def _make(self, kind: type, name: str, text: str) -> "Counter | Gauge":
-        made: Counter | Gauge = kind(name, text, registry=self._registry)
-        return made
+        metric: Counter | Gauge = kind(name, text, registry=self._registry)
+        return metric
 
     @contextmanager
     def time_request(self, request: CallerRequest) -> Iterator[None]:
@@ -77,16 +77,16 @@
         """Return the exposition of all metrics and its HTTP headers."""
         rows = {
             "members": len(world.members.known),
-            "led_endpoints": len(world.leaders.led),
-            "asks": len(world.book.asks),
-            "permits_granted": len(world.book.permits),
+            "led_endpoints": len(world.leaders.led_endpoints),
+            "asks": len(world.grants.asks),
+            "permits_granted": len(world.grants.permits),
             "permits_held": len(world.entry.held),
-            "loads": len(world.book.loads),
+            "loads": len(world.grants.loads),
             "requests_waiting": len(world.entry.waiters),
         }
         for table, count in rows.items():
             self._gauge.set({"table": table}, count)
-        for name, count in world.invariants.broken.items():
+        for name, count in world.invariants.violations.items():
             self._broken.set({"invariant": name}, count)
         self._revision.set({}, world.config.revision)
         content, headers = render(self._registry, [])
--- a/src/kestreltally/objectapi/watches.py
+++ b/src/kestreltally/objectapi/watches.py
@@ -175,7 +175,7 @@
             ConfigArrived(
                 after=0 if initial else min(known, listed_revision),
                 revision=max([*revisions, known]),
-                whole=initial,
+                complete=initial,
                 objects=read_config_objects(listing.objects),
                 confirmed_at=min(confirmed_at, self._clock()),
             )
--- a/src/kestreltally/operators/api.py
+++ b/src/kestreltally/operators/api.py
@@ -60,7 +60,7 @@
             "slots_used": len(led.slots),
             "leaving": led.leaving,
         }
-        for led in world.leaders.led.values()
+        for led in world.leaders.led_endpoints.values()
     ]
 
 
@@ -74,7 +74,7 @@
             "closing": slot.closing,
             "idle_for": round(world.now - slot.used_at, 3),
         }
-        for led in world.leaders.led.values()
+        for led in world.leaders.led_endpoints.values()
         for slot in led.slots.values()
     ]
 
@@ -90,7 +90,7 @@
             "priority": ask.priority.name.lower(),
             "waiting_for": round(world.now - ask.arrived_at, 3),
         }
-        for ask in world.book.asks.values()
+        for ask in world.grants.asks.values()
     ]
 
 
@@ -107,7 +107,7 @@
             "places": permit.count_batch_slots(),
             "ends_in": round(permit.expires_at - world.now, 3),
         }
-        for permit in world.book.permits.values()
+        for permit in world.grants.permits.values()
     ]
 
 
@@ -121,7 +121,7 @@
             "state": load.state.value,
             "since": round(world.now - load.since, 3),
         }
-        for load in world.book.loads.values()
+        for load in world.grants.loads.values()
     ]
 
 
@@ -147,12 +147,13 @@
             "revision": world.config.revision,
             "confirmed_ago": round(min(get_unconfirmed_time(world), 1e6), 3),
             "watches": is_watcher(world),
-            "leads": len(world.leaders.led),
+            "leads": len(world.leaders.led_endpoints),
             "suspended": sum(
-                led.phase is Phase.SUSPENDED for led in world.leaders.led.values()
+                led.phase is Phase.SUSPENDED
+                for led in world.leaders.led_endpoints.values()
             ),
             "leaving": world.members.leaving,
-            "invariants_broken": sum(world.invariants.broken.values()),
+            "invariants_broken": sum(world.invariants.violations.values()),
         }
     ]
 
--- a/src/kestreltally/orders.py
+++ b/src/kestreltally/orders.py
@@ -183,13 +183,13 @@
 class ConfigArrived:
     """All changes of the configuration after ``after``, up to ``revision``.
 
-    ``whole`` is set if these are all existing objects. ``confirmed_at`` is the local
+    ``complete`` is set if these are all existing objects. ``confirmed_at`` is the local
     time at which this was the latest configuration.
     """
 
     after: Revision
     revision: Revision
-    whole: bool
+    complete: bool
     objects: tuple[ConfigObject, ...]
     confirmed_at: Seconds
 
@@ -312,4 +312,4 @@
     retry_after: Seconds
 
 
-WantAnswer = WaiterGranted | WaiterRefused
+WaiterAnswer = WaiterGranted | WaiterRefused
--- a/src/kestreltally/placing/credits.py
+++ b/src/kestreltally/placing/credits.py
@@ -93,7 +93,7 @@
 class _CreditPool:
     """The credits that can be issued for one incarnation of an endpoint."""
 
-    born: int
+    start_time_ms: int
     bucket: Bucket
     estimated_at: Seconds = float("-inf")
 
@@ -175,13 +175,13 @@
     def issue(
         self,
         endpoint: EndpointId,
-        born: int,
+        start_time_ms: int,
         limit: RateLimitState,
         parameters: IssueParameters,
     ) -> Seconds | None:
         """Issue what can be issued now; return the delay until a recheck, or None."""
         now = self._clock()
-        pool = self._get_pool(endpoint, born, now)
+        pool = self._get_pool(endpoint, start_time_ms, now)
         level = pool.bucket.refill(parameters.rate, parameters.depth, now)
         if level <= parameters.min_level:
             # The next holder is chosen only once there is a credit to issue.
@@ -196,11 +196,13 @@
             else MIN_RECHECK_DELAY + shortfall / parameters.rate
         )
 
-    def _get_pool(self, endpoint: EndpointId, born: int, now: Seconds) -> _CreditPool:
+    def _get_pool(
+        self, endpoint: EndpointId, start_time_ms: int, now: Seconds
+    ) -> _CreditPool:
         pool = self._pools.get(endpoint)
-        if pool is None or pool.born != born:
+        if pool is None or pool.start_time_ms != start_time_ms:
             # The pool starts empty: another leader may just have issued the credits.
-            pool = self._pools[endpoint] = _CreditPool(born, Bucket(now, 0.0))
+            pool = self._pools[endpoint] = _CreditPool(start_time_ms, Bucket(now, 0.0))
         return pool
 
     def _issue_from(
--- a/src/kestreltally/placing/enginestate.py
+++ b/src/kestreltally/placing/enginestate.py
@@ -65,10 +65,10 @@
         are not comparable.
         """
         self.read_at = now
-        if is_other_incarnation(self.endpoint.born, report.born):
-            if report.born < self.endpoint.born:
+        if is_other_incarnation(self.endpoint.start_time_ms, report.start_time_ms):
+            if report.start_time_ms < self.endpoint.start_time_ms:
                 return
-            self.start_incarnation(report.born)
+            self.start_incarnation(report.start_time_ms)
         self.unanswered_calls = 0
         if self.sequence is not None and report.sequence < self.sequence:
             self._confirm_loads(report, now)
@@ -87,9 +87,9 @@
         self._prune_pending_unloads(report, now)
         self.held_since = {k: self.held_since.get(k, now) for k in report.weights}
 
-    def start_incarnation(self, born: int) -> None:
+    def start_incarnation(self, start_time_ms: int) -> None:
         """Reset the state for a new incarnation of the engine under the same id."""
-        self.endpoint = replace(self.endpoint, born=born, weights={})
+        self.endpoint = replace(self.endpoint, start_time_ms=start_time_ms, weights={})
         self.weights = {}
         self.held_since = {}
         self.pending_loads = {}
--- a/src/kestreltally/placing/leader.py
+++ b/src/kestreltally/placing/leader.py
@@ -122,9 +122,9 @@
         endpoint = self._fleet.notices.apply_to(endpoint)
         state = self.engines.get(endpoint.id)
         if state is not None and is_other_incarnation(
-            state.endpoint.born, endpoint.born
+            state.endpoint.start_time_ms, endpoint.start_time_ms
         ):
-            if endpoint.born < state.endpoint.born:
+            if endpoint.start_time_ms < state.endpoint.start_time_ms:
                 return
             # Loads, orders and counts of the former incarnation no longer apply.
             self.drop_endpoint(endpoint.id)
--- a/src/kestreltally/platform/documents.py
+++ b/src/kestreltally/platform/documents.py
@@ -58,7 +58,7 @@
 MAX_TEXT_LENGTH: Final = 512
 MAX_COUNT: Final = 2**31 - 1
 MAX_PORT: Final = 2**16 - 1
-MAX_BORN: Final = 2**62
+MAX_START_TIME_MS: Final = 2**62
 
 
 class MalformedDocument(ValueError):
@@ -206,19 +206,19 @@
             # "Sequence" is not decoded: in an entry it counts heartbeats, unlike the
             # field of that name in an engine's report.
             weights=decode_weights(entry.get("Models") or ()),
-            born=read_born(entry),
+            start_time_ms=read_start_time(entry),
         )
     except FORMAT_ERRORS as error:
         raise MalformedDocument(f"endpoint {name}: {error!r}") from error
 
 
-def read_born(document: Document) -> int:
+def read_start_time(document: Document) -> int:
     """Return the start time of an endpoint in Unix milliseconds, or 0 if it is absent.
 
     Raises ``TypeError`` or ``ValueError`` for anything but an integer.
     """
-    born = document.get("born", 0)
-    return _read_count(born, minimum=0, maximum=MAX_BORN)
+    start_time_ms = document.get("born", 0)
+    return _read_count(start_time_ms, minimum=0, maximum=MAX_START_TIME_MS)
 
 
 def decode_weights(models: Any) -> dict[WeightsKey, int]:
--- a/src/kestreltally/platform/engines.py
+++ b/src/kestreltally/platform/engines.py
@@ -10,7 +10,7 @@
     FORMAT_ERRORS,
     MalformedDocument,
     decode_weights,
-    read_born,
+    read_start_time,
 )
 
 REPORT_PATH: Final = "/report"
@@ -64,7 +64,7 @@
 class EngineReport:
     """The state that an engine reports, a few hundred milliseconds old.
 
-    ``warm`` names adapters that load quickly because the engine keeps a copy. ``born``
+    ``warm`` names adapters that load quickly because the engine keeps a copy. ``start_time_ms``
     is its start time in Unix milliseconds, or 0 if it does not report one.
     """
 
@@ -75,7 +75,7 @@
     sequence: int
     running: int
     waiting: int
-    born: int = 0
+    start_time_ms: int = 0
 
 
 def encode_order(order: Order) -> bytes:
@@ -117,7 +117,7 @@
         sequence=int(report["Sequence"]),
         running=int(report["RunningCount"]),
         waiting=int(report["WaitingCount"]),
-        born=read_born(report),
+        start_time_ms=read_start_time(report),
     )
 
 
--- a/src/kestreltally/poison/api.py
+++ b/src/kestreltally/poison/api.py
@@ -15,7 +15,7 @@
 
 LIST_PATH: Final = "/poison"
 PARDON_PATH: Final = "/poison/pardon"
-MIN_SHOWN_ENDS: Final = 2
+MIN_SHOWN_CRASHES: Final = 2
 
 Serve = Callable[[web.BaseRequest], Awaitable[web.StreamResponse]]
 
@@ -30,7 +30,7 @@
     async def serve(self, http: web.BaseRequest) -> web.StreamResponse:
         """Answer a request of an operator."""
         if http.path == LIST_PATH and http.method == "GET":
-            listed = self._register.list_suspects(MIN_SHOWN_ENDS)
+            listed = self._register.list_suspects(MIN_SHOWN_CRASHES)
             return web.json_response([asdict(each) for each in listed])
         if http.path == PARDON_PATH and http.method == "POST":
             return self._pardon(http.query.get("content", ""))
--- a/src/kestreltally/poison/crashes.py
+++ b/src/kestreltally/poison/crash_detector.py
@@ -20,9 +20,9 @@
 from kestreltally.fleet.model import Endpoint, EndpointId, Seconds
 from kestreltally.poison.facts import (
     WITNESS_BITS,
-    Life,
+    IncarnationName,
     Sighting,
-    format_life,
+    format_incarnation,
     make_clearing,
 )
 from kestreltally.poison.fingerprints import (
@@ -43,10 +43,10 @@
 # planned keeps serving until then.
 MIN_SILENCE: Final[Seconds] = 2.0
 # Minimum interval between probes of an address for accepting connections.
-ASK_INTERVAL: Final[Seconds] = 0.3
-ASK_TIMEOUT: Final[Seconds] = 0.5
+PROBE_INTERVAL: Final[Seconds] = 0.3
+PROBE_TIMEOUT: Final[Seconds] = 0.5
 # Bodies up to this many bytes are kept until it is known whether a digest is needed.
-MAX_KEPT_BODY: Final = 2**16
+MAX_RETAINED_BODY_BYTES: Final = 2**16
 
 
 @dataclass(slots=True, eq=False)
@@ -60,7 +60,7 @@
 
     request: ClientRequest | None
     endpoint: Endpoint
-    life: Life
+    incarnation: IncarnationName
     sent_at: Seconds
     fingerprint: Fingerprint | None = None
     answered: bool = False
@@ -102,7 +102,9 @@
 
     def start(self, request: ClientRequest, endpoint: Endpoint) -> Attempt:
         """Record that a request is sent."""
-        attempt = Attempt(request, endpoint, format_life(endpoint), self._clock())
+        attempt = Attempt(
+            request, endpoint, format_incarnation(endpoint), self._clock()
+        )
         self._attempts[endpoint.id].add(attempt)
         return attempt
 
@@ -114,7 +116,7 @@
             self._clear_suspicion(attempt)
             return
         if attempt.broken_off or (
-            attempt.request and len(attempt.request.body) > MAX_KEPT_BODY
+            attempt.request and len(attempt.request.body) > MAX_RETAINED_BODY_BYTES
         ):
             self._digest(attempt)
         if attempt.broken_off:
@@ -157,7 +159,7 @@
     def _start_probe(self, endpoint: Endpoint) -> None:
         """Probe whether an endpoint has crashed after a request broke off."""
         now = self._clock()
-        if now - self._probed_at.get(endpoint.id, float("-inf")) < ASK_INTERVAL:
+        if now - self._probed_at.get(endpoint.id, float("-inf")) < PROBE_INTERVAL:
             return
         self._probed_at[endpoint.id] = now
         task = asyncio.create_task(self._probe_address(endpoint))
@@ -166,7 +168,7 @@
 
     async def _probe_address(self, endpoint: Endpoint) -> None:
         try:
-            async with asyncio.timeout(ASK_TIMEOUT):
+            async with asyncio.timeout(PROBE_TIMEOUT):
                 _, writer = await asyncio.open_connection(endpoint.host, endpoint.port)
         except ConnectionRefusedError:
             self.record_refused(endpoint)
@@ -178,28 +180,28 @@
     def record_refused(self, endpoint: Endpoint) -> None:
         """Record that an endpoint's address refuses connections."""
         if self._attempts.get(endpoint.id):
-            self._record_end(endpoint, "refuses connections")
+            self._record_crash(endpoint, "refuses connections")
 
     def record_removed(self, endpoint: Endpoint) -> None:
         """Record that an endpoint's entry was removed; it is still in the table."""
         silent = self._clock() - self._received_at(endpoint.id) > MIN_SILENCE
         if silent and self._attempts.get(endpoint.id):
-            self._record_end(endpoint, "silent, and its entry was removed")
+            self._record_crash(endpoint, "silent, and its entry was removed")
 
     def record_replaced(self, endpoint: Endpoint) -> None:
         """Record that another incarnation answers in place of an endpoint."""
         if self._attempts.get(endpoint.id):
-            self._record_end(endpoint, "restarted")
+            self._record_crash(endpoint, "restarted")
 
-    def _record_end(self, endpoint: Endpoint, cause: str) -> None:
+    def _record_crash(self, endpoint: Endpoint, cause: str) -> None:
         """Report the requests that ran at an endpoint as it crashed."""
         if self.get_serving(endpoint.id) is None:
             return
-        life = format_life(endpoint)
+        life = format_incarnation(endpoint)
         running = [
             attempt
             for attempt in self._attempts.get(endpoint.id, ())
-            if attempt.life == life and self._was_running_at_end(attempt)
+            if attempt.incarnation == life and self._was_running_at_crash(attempt)
         ]
         sightings = [each for each in map(self._make_sighting, running) if each]
         for attempt in running:
@@ -216,7 +218,7 @@
             content=[str(each.fingerprint) for each in sightings],
         )
 
-    def _was_running_at_end(self, attempt: Attempt) -> bool:
+    def _was_running_at_crash(self, attempt: Attempt) -> bool:
         """Return whether the endpoint has sent nothing since an attempt ended."""
         if attempt.finished_at is None:
             return True
@@ -230,7 +232,7 @@
         ended_at = received_at if attempt.finished_at is None else attempt.finished_at
         return Sighting(
             fingerprint,
-            attempt.life,
+            attempt.incarnation,
             attempt.sent_at,
             ended_at,
             attempt.answered,
--- a/src/kestreltally/poison/factlog.py
+++ b/src/kestreltally/poison/factlog.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from kestreltally.fleet.model import Seconds
-from kestreltally.poison.facts import Clearing, Fact, Life
+from kestreltally.poison.facts import Clearing, Fact, IncarnationName
 from kestreltally.poison.fingerprints import Digest
 from kestreltally.poison.suspects import SIGHTING_RETENTION
 
@@ -26,7 +26,7 @@
         self.position = 0
         # Facts not echoed by the leader yet, ids of echoed ones, and all local facts.
         self._unconfirmed: dict[Fact, None] = {}
-        self._confirmed: set[tuple[Digest, Life | int]] = set()
+        self._confirmed: set[tuple[Digest, IncarnationName | int]] = set()
         self._local: deque[Fact] = deque(maxlen=MAX_FACTS)
 
     def add(self, fact: Fact) -> None:
@@ -102,8 +102,8 @@
     return fact.at if isinstance(fact, Clearing) else fact.ended_at
 
 
-def _identify(fact: Fact) -> tuple[Digest, Life | int]:
+def _identify(fact: Fact) -> tuple[Digest, IncarnationName | int]:
     """Return the identity of a fact, independent of its time."""
     if isinstance(fact, Clearing):
         return fact.fingerprint.digest, fact.number
-    return fact.fingerprint.digest, fact.life
+    return fact.fingerprint.digest, fact.incarnation
--- a/src/kestreltally/poison/facts.py
+++ b/src/kestreltally/poison/facts.py
@@ -12,15 +12,19 @@
 from kestreltally.poison.fingerprints import Fingerprint
 
 # One incarnation of an endpoint: its id, and its start time if known.
-Life = NewType("Life", str)
+IncarnationName = NewType("IncarnationName", str)
 
 NUMBER_BITS: Final = 62
 WITNESS_BITS: Final = 31
 
 
-def format_life(endpoint: Endpoint) -> Life:
+def format_incarnation(endpoint: Endpoint) -> IncarnationName:
     """Return the name of an endpoint's current incarnation."""
-    return Life(f"{endpoint.id}@{endpoint.born}" if endpoint.born else endpoint.id)
+    return IncarnationName(
+        f"{endpoint.id}@{endpoint.start_time_ms}"
+        if endpoint.start_time_ms
+        else endpoint.id
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,7 +37,7 @@
     """
 
     fingerprint: Fingerprint
-    life: Life
+    incarnation: IncarnationName
     sent_at: Seconds
     ended_at: Seconds
     answered: bool
--- a/src/kestreltally/poison/guard.py
+++ b/src/kestreltally/poison/guard.py
@@ -5,7 +5,7 @@
 
 from kestreltally.entry.request import ClientRequest
 from kestreltally.fleet.model import EndpointId, Seconds
-from kestreltally.poison.crashes import CrashDetector
+from kestreltally.poison.crash_detector import CrashDetector
 from kestreltally.poison.register import Block, PoisonRegister
 from kestreltally.poison.secret import SharedSecret
 
@@ -20,7 +20,7 @@
     def __init__(self, received_at: Callable[[EndpointId], Seconds]) -> None:
         self.secret = SharedSecret(_read_clock, self._clear_digests)
         self.register = PoisonRegister(_read_clock)
-        self.crashes = CrashDetector(
+        self.crash_detector = CrashDetector(
             self.register, self.secret, received_at, _read_clock
         )
 
@@ -29,7 +29,7 @@
 
         Call it before each send, whatever the attempt, because every send counts.
         """
-        fingerprint = self.crashes.identify(request)
+        fingerprint = self.crash_detector.identify(request)
         if fingerprint is None:
             return None
         return self.register.find_block(fingerprint.digest)
@@ -37,9 +37,9 @@
     def run_maintenance(self) -> None:
         """Apply due verdicts and remove what no longer counts."""
         self.register.evaluate()
-        self.crashes.prune_old()
+        self.crash_detector.prune_old()
         self.register.prune_old()
 
     def _clear_digests(self) -> None:
         self.register.clear()
-        self.crashes.clear()
+        self.crash_detector.clear()
--- a/src/kestreltally/poison/persistence.py
+++ b/src/kestreltally/poison/persistence.py
@@ -22,7 +22,7 @@
     StoredObject,
     StoreError,
 )
-from kestreltally.poison.facts import Life, Sighting
+from kestreltally.poison.facts import IncarnationName, Sighting
 from kestreltally.poison.fingerprints import Digest, Fingerprint
 from kestreltally.poison.guard import PoisonGuard
 
@@ -52,7 +52,7 @@
                 {
                     "digest": each.fingerprint.digest.hex(),
                     "outline": each.fingerprint.outline,
-                    "life": each.life,
+                    "life": each.incarnation,
                     "sent_at": each.sent_at,
                     "ended_at": each.ended_at,
                     "answered": each.answered,
@@ -75,7 +75,7 @@
     digest = Digest(bytes.fromhex(row["digest"]))
     return Sighting(
         fingerprint=Fingerprint(int(row["outline"]), digest),
-        life=Life(str(row["life"])),
+        incarnation=IncarnationName(str(row["life"])),
         sent_at=float(row["sent_at"]),
         ended_at=float(row["ended_at"]),
         answered=bool(row["answered"]),
@@ -103,7 +103,7 @@
         self._wall_clock = wall_clock
         self._revision: Revision | None = None
         self._era = UNKNOWN_ERA
-        self._stored: frozenset[tuple[Digest, Life]] | None = frozenset()
+        self._stored: frozenset[tuple[Digest, IncarnationName]] | None = frozenset()
         self._has_read = False
 
     async def run(self) -> None:
@@ -128,11 +128,11 @@
             self._has_read = True
             self._poison.secret.store_checked = True
         sightings = self._poison.register.list_stopped()
-        stopped_ends = frozenset(
-            (each.fingerprint.digest, each.life) for each in sightings
+        stopped_keys = frozenset(
+            (each.fingerprint.digest, each.incarnation) for each in sightings
         )
-        if stopped_ends != self._stored and await self._write(sightings):
-            self._stored = stopped_ends
+        if stopped_keys != self._stored and await self._write(sightings):
+            self._stored = stopped_keys
 
     async def _read(self) -> None:
         """Apply the records of all leaders."""
--- a/src/kestreltally/poison/register.py
+++ b/src/kestreltally/poison/register.py
@@ -15,7 +15,13 @@
 from kestreltally.decisions import Decision, log_decision
 from kestreltally.fleet.model import Seconds
 from kestreltally.poison.factlog import FactLog
-from kestreltally.poison.facts import Clearing, Fact, Life, Sighting, make_clearing
+from kestreltally.poison.facts import (
+    Clearing,
+    Fact,
+    IncarnationName,
+    Sighting,
+    make_clearing,
+)
 from kestreltally.poison.fingerprints import Digest, Fingerprint
 from kestreltally.poison.suspects import SIGHTING_RETENTION, Suspect
 
@@ -61,7 +67,7 @@
     content: str
     ends: int
     stopped: bool
-    lives: tuple[Life, ...]
+    lives: tuple[IncarnationName, ...]
     last_ended: Seconds
 
 
@@ -124,12 +130,12 @@
         That is a request at more crashes, or one whose attempts had less often started
         to be answered.
         """
-        lives = {each.life for each in suspect.list_valid(now)}
-        own_score = suspect.score(now)
+        lives = {each.incarnation for each in suspect.list_valid(now)}
+        suspect_score = suspect.score(now)
         return any(
-            lives <= {each.life for each in other.list_valid(now)}
+            lives <= {each.incarnation for each in other.list_valid(now)}
             and len(other.list_sequential(now)) >= CRASHES_TO_STOP
-            and other.score(now) > own_score
+            and other.score(now) > suspect_score
             for other in self._suspects.values()
             if other is not suspect and len(other.sightings) >= len(lives)
         )
@@ -150,8 +156,8 @@
             lives=sorted(suspect.sightings),
         )
 
-    def list_suspects(self, min_ends: int = 1) -> list[SuspectSummary]:
-        """Return requests with at least ``min_ends`` crashes, most crashes first."""
+    def list_suspects(self, min_crashes: int = 1) -> list[SuspectSummary]:
+        """Return requests with at least ``min_crashes`` crashes, most crashes first."""
         self.evaluate()
         now = self._clock()
         found = [
@@ -159,11 +165,11 @@
                 content=str(suspect.fingerprint),
                 ends=len(ends),
                 stopped=digest in self._stopped,
-                lives=tuple(each.life for each in ends),
+                lives=tuple(each.incarnation for each in ends),
                 last_ended=now - ends[-1].ended_at,
             )
             for digest, suspect in self._suspects.items()
-            if len(ends := suspect.list_sequential(now)) >= min_ends
+            if len(ends := suspect.list_sequential(now)) >= min_crashes
         ]
         return sorted(found, key=lambda each: each.ends, reverse=True)
 
@@ -249,9 +255,12 @@
         suspect = self._suspects.get(digest)
         if suspect is None:
             suspect = self._add_suspect(fact.fingerprint)
-        if fact.life in suspect.sightings or fact.ended_at <= now - SIGHTING_RETENTION:
+        if (
+            fact.incarnation in suspect.sightings
+            or fact.ended_at <= now - SIGHTING_RETENTION
+        ):
             return False
-        suspect.sightings[fact.life] = fact
+        suspect.sightings[fact.incarnation] = fact
         suspect.recorded_at = now
         self._suspects.move_to_end(digest)
         self._entry_count += 1
@@ -293,9 +302,9 @@
             for digest, suspect in self._suspects.items()
             if digest not in self._stopped
         }
-        for max_ends in range(1, CRASHES_TO_STOP):
+        for max_crashes in range(1, CRASHES_TO_STOP):
             for digest, ends in not_stopped.items():
-                if ends <= max_ends:
+                if ends <= max_crashes:
                     return digest
         return next(iter(not_stopped or self._suspects))
 
@@ -319,6 +328,6 @@
                 self._remove(digest)
 
 
-def _compute_stop_time(ends: int) -> Seconds:
+def _compute_stop_time(crashes: int) -> Seconds:
     """Return how long after its last crash a request is stopped."""
-    return min(MAX_STOP_TIME, INITIAL_STOP_TIME * 2.0 ** (ends - CRASHES_TO_STOP))
+    return min(MAX_STOP_TIME, INITIAL_STOP_TIME * 2.0 ** (crashes - CRASHES_TO_STOP))
--- a/src/kestreltally/poison/secret.py
+++ b/src/kestreltally/poison/secret.py
@@ -28,7 +28,7 @@
     ) -> None:
         self._clock = clock
         self._notify_changed = notify_changed
-        self._since = clock()
+        self._created_at = clock()
         self.value = b""
         # Set once the record in the store has been read.
         self.store_checked = False
@@ -36,7 +36,7 @@
     def get_or_make(self) -> bytes:
         """Return the secret of a leader, which makes one if none was received."""
         wait = MAKE_DELAY if self.store_checked else MAKE_DELAY_WITHOUT_STORE
-        if not self.value and self._clock() - self._since >= wait:
+        if not self.value and self._clock() - self._created_at >= wait:
             self.value = token_bytes(SECRET_BYTES)
         return self.value
 
--- a/src/kestreltally/poison/suspects.py
+++ b/src/kestreltally/poison/suspects.py
@@ -4,7 +4,7 @@
 from typing import Final
 
 from kestreltally.fleet.model import Seconds
-from kestreltally.poison.facts import Life, Sighting
+from kestreltally.poison.facts import IncarnationName, Sighting
 from kestreltally.poison.fingerprints import Digest, Fingerprint
 
 # Crashes dated by two daemons within this time cannot be ordered: a report arrives some
@@ -19,7 +19,7 @@
     """The sightings of one request."""
 
     fingerprint: Fingerprint
-    sightings: dict[Life, Sighting] = field(default_factory=dict)
+    sightings: dict[IncarnationName, Sighting] = field(default_factory=dict)
     cleared_at: Seconds = float("-inf")
     recorded_at: Seconds = float("-inf")
 
--- a/src/kestreltally/quotas/limiters.py
+++ b/src/kestreltally/quotas/limiters.py
@@ -112,7 +112,7 @@
 
     def pop_spendings(self) -> list[Spending]:
         """Return what was requested and granted since the last call."""
-        return self._counter.take(self._clock())
+        return self._counter.pop(self._clock())
 
     def refund(self, name: OrganisationName, units: int) -> None:
         """Refund units granted to a request that did not run."""
--- a/src/kestreltally/quotas/spending.py
+++ b/src/kestreltally/quotas/spending.py
@@ -62,7 +62,7 @@
             counts.asked += each.asked
             counts.granted += each.granted
 
-    def take(self, now: Seconds) -> list[Spending]:
+    def pop(self, now: Seconds) -> list[Spending]:
         """Return and reset the counts, weighted down if they are old."""
         popped_at = self._popped_at if self._popped_at is not None else now
         counts, self._counts, self._popped_at = self._counts, {}, now
--- a/src/kestreltally/runtime.py
+++ b/src/kestreltally/runtime.py
@@ -36,9 +36,9 @@
     UnloadEnded,
     UseEnd,
     WaiterAdded,
+    WaiterAnswer,
     WaiterDropped,
     WaiterGranted,
-    WantAnswer,
 )
 from kestreltally.peers.messages import Envelope, PeerMessage
 from kestreltally.ports import (
@@ -81,7 +81,7 @@
         self._next_tick_at = 0.0
         self._wake = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._waiting: dict[str, asyncio.Future[WantAnswer]] = {}
+        self._waiting: dict[str, asyncio.Future[WaiterAnswer]] = {}
         self._watches = PlatformWatches(
             world=world,
             objects=ports.objects,
@@ -161,7 +161,7 @@
             self._next_tick_at = now + self.world.settings.timing.tick
         run_step(self.world, now, woken)
         self._execute_orders()
-        self._answer_wants()
+        self._resolve_waiters()
 
     def _execute_orders(self) -> None:
         orders, self.world.outbox = self.world.outbox, []
@@ -177,7 +177,7 @@
     async def _execute(self, order: Order) -> None:
         await self._executors[type(order)](order)
 
-    def _answer_wants(self) -> None:
+    def _resolve_waiters(self) -> None:
         answers, self.world.entry.answers = self.world.entry.answers, []
         for answer in answers:
             future = self._waiting.pop(answer.waiter, None)
@@ -209,13 +209,13 @@
 
     # Requests
 
-    async def acquire(self, waiter: Waiter) -> WantAnswer:
+    async def acquire(self, waiter: Waiter) -> WaiterAnswer:
         """Wait until a request is granted a permit or refused."""
         future = asyncio.get_running_loop().create_future()
         self._waiting[waiter.waiter] = future
         self.post(WaiterAdded(waiter=waiter))
         try:
-            answer: WantAnswer = await future
+            answer: WaiterAnswer = await future
             return answer
         except asyncio.CancelledError:
             self.abandon(waiter.waiter, future)
--- a/src/kestreltally/systems/availability.py
+++ b/src/kestreltally/systems/availability.py
@@ -66,12 +66,12 @@
 def record_success(world: World, served: EndpointServed) -> None:
     """Close the breaker of an endpoint that served; update its service time."""
     world.entry.breakers.pop(served.endpoint, None)
-    led = world.leaders.led.get(served.endpoint)
+    led = world.leaders.led_endpoints.get(served.endpoint)
     if led is not None:
         service_time = led.service_time + SERVICE_TIME_WEIGHT * (
             served.took - led.service_time
         )
-        world.update_led(led, service_time=service_time)
+        world.update_led_endpoint(led, service_time=service_time)
 
 
 def _retire_permits(world: World, failed: EndpointFailed) -> None:
--- a/src/kestreltally/systems/budget.py
+++ b/src/kestreltally/systems/budget.py
@@ -49,10 +49,10 @@
 
 def _refill_tokens(world: World) -> None:
     placement = world.settings.placement
-    gained = (world.now - world.budget.filled_at) * placement.loads_per_second
+    gained = (world.now - world.budget.refilled_at) * placement.loads_per_second
     capacity = max(1.0, float(placement.loads_at_once))
     world.budget.tokens = min(capacity, world.budget.tokens + gained)
-    world.budget.filled_at = world.now
+    world.budget.refilled_at = world.now
 
 
 @runs_each_tick(80, on_wake=True)
--- a/src/kestreltally/systems/configuration.py
+++ b/src/kestreltally/systems/configuration.py
@@ -131,14 +131,14 @@
     table = world.config
     if arrived.revision < table.revision:
         return False
-    if not arrived.whole and arrived.after > table.revision:
+    if not arrived.complete and arrived.after > table.revision:
         return False
     before = table.revision
     for changed in sorted(arrived.objects, key=lambda each: each.revision):
         _apply_object(world, changed)
     table.revision = arrived.revision
     table.confirmed_at = max(table.confirmed_at, arrived.confirmed_at)
-    if arrived.whole and arrived.after == 0 and before == 0:
+    if arrived.complete and arrived.after == 0 and before == 0:
         table.recent.clear()
         table.recent_after = arrived.revision
     world.invariants.require(
@@ -203,7 +203,7 @@
     arrived = ConfigArrived(
         after=pushed.after,
         revision=pushed.revision,
-        whole=pushed.whole,
+        complete=pushed.whole,
         objects=tuple(objects),
         confirmed_at=world.now - pushed.unconfirmed_for,
     )
--- a/src/kestreltally/systems/granting.py
+++ b/src/kestreltally/systems/granting.py
@@ -73,7 +73,7 @@
     """Return whether configuration, VM list or report marks the endpoint as leaving."""
     if spec.draining or (spec.vm and is_listed_leaving(world, VmId(spec.vm))):
         return True
-    led = world.leaders.led.get(EndpointId(spec.name))
+    led = world.leaders.led_endpoints.get(EndpointId(spec.name))
     return led is not None and led.leaving
 
 
@@ -84,7 +84,7 @@
 
 def count_asks(world: World, endpoint: EndpointId) -> int:
     """Return the number of asks queued at an endpoint."""
-    return sum(1 for ask in world.book.asks.values() if ask.endpoint == endpoint)
+    return sum(1 for ask in world.grants.asks.values() if ask.endpoint == endpoint)
 
 
 def describe_view(world: World, led: LedEndpoint) -> View:
@@ -111,7 +111,7 @@
     spec = world.config.endpoints[led.endpoint]
     ahead = sum(
         1
-        for other in world.book.asks.values()
+        for other in world.grants.asks.values()
         if other.endpoint == led.endpoint
         and (other.priority, other.arrived_at) < (ask.priority, ask.arrived_at)
     )
@@ -122,13 +122,13 @@
     loads_ahead = len(
         {
             other.adapter
-            for other in world.book.asks.values()
+            for other in world.grants.asks.values()
             if other.endpoint == led.endpoint
             and not is_usable(led, other.adapter)
             and (other.priority, other.arrived_at) <= (ask.priority, ask.arrived_at)
         }
     )
-    return batch_wait + loads_ahead * world.book.load_time
+    return batch_wait + loads_ahead * world.grants.load_time
 
 
 def _refuse(
@@ -136,7 +136,7 @@
 ) -> None:
     endpoint = EndpointId(ask.endpoint)
     leader = ""
-    if reason == NOT_LEADER and endpoint not in world.leaders.led:
+    if reason == NOT_LEADER and endpoint not in world.leaders.led_endpoints:
         leader = find_leader(world, endpoint) or ""
     refusal = RefusePermit(
         ask=ask.ask,
@@ -152,7 +152,7 @@
 def receive_ask(world: World, sender: VmId, asked: AskPermit) -> None:
     """Queue an ask or refuse it immediately; refresh an ask that is repeated."""
     endpoint = EndpointId(asked.endpoint)
-    led = world.leaders.led.get(endpoint)
+    led = world.leaders.led_endpoints.get(endpoint)
     spec = world.config.endpoints.get(endpoint)
     if (
         led is None
@@ -164,12 +164,12 @@
     if is_endpoint_leaving(world, spec):
         _refuse(world, sender, asked, LEAVING, LEAVING_RETRY_DELAY)
         return
-    granted = world.book.permits.get(PermitId(asked.ask))
+    granted = world.grants.permits.get(PermitId(asked.ask))
     if granted is not None:
         if granted.state is PermitState.OPEN:
             _send_grant(world, led, granted)
         return
-    known = world.book.asks.get(AskId(asked.ask))
+    known = world.grants.asks.get(AskId(asked.ask))
     if known is not None:
         turn = max(known.turn, asked.turn)
         known = replace(known, refreshed_at=world.now, turn=turn)
@@ -179,7 +179,7 @@
     else:
         known = _make_ask(world, sender, asked)
         record_demand(world, endpoint, known.adapter)
-    world.book.asks[known.ask] = known
+    world.grants.asks[known.ask] = known
     if not is_usable(led, known.adapter) or _is_full(world, led):
         queued = AskQueued(
             ask=known.ask,
@@ -218,16 +218,16 @@
 @handles_message(WithdrawAsk)
 def remove_ask(world: World, sender: VmId, withdrawn: WithdrawAsk) -> None:
     """Remove an ask that its entry daemon has withdrawn."""
-    world.book.asks.pop(AskId(withdrawn.ask), None)
+    world.grants.asks.pop(AskId(withdrawn.ask), None)
 
 
 @runs_each_tick(60)
 def prune_stale_asks(world: World) -> None:
     """Remove asks that are past their deadline or no longer refreshed."""
     timeout = world.settings.timing.ask_refresh * MAX_MISSED_REFRESHES
-    for ask in list(world.book.asks.values()):
+    for ask in list(world.grants.asks.values()):
         if world.now - ask.refreshed_at > timeout or world.now >= ask.deadline_at:
-            del world.book.asks[ask.ask]
+            del world.grants.asks[ask.ask]
 
 
 @runs_each_tick(61)
@@ -236,7 +236,7 @@
 
     An expired permit counts as in use until a later report covers it.
     """
-    for permit in list(world.book.permits.values()):
+    for permit in list(world.grants.permits.values()):
         ran_out = permit.state is PermitState.OPEN and world.now > permit.expires_at
         orphaned = permit.state is PermitState.RETURNED and not is_reachable(
             world, permit.holder
@@ -251,8 +251,8 @@
             count=count,
             expires_at=world.now + margin if orphaned else permit.expires_at,
         )
-        world.book.permits[permit.permit] = expired
-        led = world.leaders.led.get(permit.endpoint)
+        world.grants.permits[permit.permit] = expired
+        led = world.leaders.led_endpoints.get(permit.endpoint)
         if led is not None:
             mark_unsure(world, led, permit.adapter)
 
@@ -266,7 +266,7 @@
     in_use: Counter[AdapterVersion] = Counter()
     for permit in world.permits_of(endpoint):
         in_use[permit.adapter] += permit.count_batch_slots()
-    asks = [ask for ask in world.book.asks.values() if ask.endpoint == endpoint]
+    asks = [ask for ask in world.grants.asks.values() if ask.endpoint == endpoint]
     asks.sort(key=lambda ask: (ask.arrived_at, ask.ask))
     ranked = []
     for ask in asks:
@@ -279,9 +279,9 @@
 @runs_each_tick(62, on_wake=True)
 def grant_permits(world: World) -> None:
     """Grant asks while the batch has free capacity, by priority and fair share."""
-    waiting = {ask.endpoint for ask in world.book.asks.values()}
+    waiting = {ask.endpoint for ask in world.grants.asks.values()}
     for endpoint in sorted(waiting):
-        led = world.leaders.led.get(endpoint)
+        led = world.leaders.led_endpoints.get(endpoint)
         if led is None or not can_act(world, led):
             continue
         if is_endpoint_leaving(world, world.config.endpoints[endpoint]):
@@ -296,10 +296,10 @@
 
 
 def _refuse_all(world: World, endpoint: EndpointId) -> None:
-    for ask in list(world.book.asks.values()):
+    for ask in list(world.grants.asks.values()):
         if ask.endpoint != endpoint:
             continue
-        del world.book.asks[ask.ask]
+        del world.grants.asks[ask.ask]
         refusal = RefusePermit(
             ask=ask.ask,
             endpoint=endpoint,
@@ -331,7 +331,7 @@
         not is_endpoint_leaving(world, spec),
         led.endpoint,
     )
-    others_wait = len(world.book.asks) > 1
+    others_wait = len(world.grants.asks) > 1
     extra = (
         0 if others_wait else min(MAX_EXTRA_PLACES, (free - 1) // FREE_PLACES_PER_EXTRA)
     )
@@ -345,8 +345,8 @@
         expires_at=world.now + timing.permit_life + timing.permit_margin,
         turn=ask.turn,
     )
-    world.book.permits[permit.permit] = permit
-    del world.book.asks[ask.ask]
+    world.grants.permits[permit.permit] = permit
+    del world.grants.asks[ask.ask]
     _touch_slot(world, led, ask.adapter)
     _send_grant(world, led, permit)
     world.events.add(
@@ -362,7 +362,7 @@
 
 
 def _touch_slot(world: World, led: LedEndpoint, adapter: AdapterVersion) -> None:
-    led = world.leaders.led[led.endpoint]
+    led = world.leaders.led_endpoints[led.endpoint]
     slot = led.slots.get(adapter)
     if slot is not None:
         used = replace(slot, used_at=world.now)
@@ -387,9 +387,9 @@
 def _choose_views(world: World, led: LedEndpoint, holder: VmId) -> list[View]:
     """Return the endpoint's view, unless the holder received it very recently."""
     key = (holder, led.endpoint)
-    if world.now - world.book.views_reported.get(key, NEVER) < VIEW_RESEND_INTERVAL:
+    if world.now - world.grants.views_reported.get(key, NEVER) < VIEW_RESEND_INTERVAL:
         return []
-    world.book.views_reported[key] = world.now
+    world.grants.views_reported[key] = world.now
     return [describe_view(world, led)]
 
 
@@ -399,20 +399,20 @@
 
     A leader that is handing over leaves the reply to the next leader.
     """
-    led = world.leaders.led.get(EndpointId(returned.endpoint))
+    led = world.leaders.led_endpoints.get(EndpointId(returned.endpoint))
     if led is None or led.phase is Phase.HANDING_OVER:
         return
-    permit = world.book.permits.get(PermitId(returned.permit))
+    permit = world.grants.permits.get(PermitId(returned.permit))
     if permit is None:
         world.send(sender, PermitClosed(permit=returned.permit))
         return
     if returned.unsure:
         mark_unsure(world, led, permit.adapter)
     if returned.running == 0:
-        del world.book.permits[permit.permit]
+        del world.grants.permits[permit.permit]
         world.send(sender, PermitClosed(permit=returned.permit))
         return
-    world.book.permits[permit.permit] = replace(
+    world.grants.permits[permit.permit] = replace(
         permit,
         state=PermitState.RETURNED,
         running=returned.running,
@@ -422,17 +422,17 @@
 @handles_message(EndpointFault)
 def receive_fault(world: World, sender: VmId, fault: EndpointFault) -> None:
     """Request a new report from an endpoint that an entry daemon saw fail."""
-    led = world.leaders.led.get(EndpointId(fault.endpoint))
+    led = world.leaders.led_endpoints.get(EndpointId(fault.endpoint))
     if led is None:
         return
     adapter = AdapterVersion(adapter=fault.adapter, version=fault.version)
-    world.update_led(led, report_requested_at=NEVER)
+    world.update_led_endpoint(led, report_requested_at=NEVER)
     if adapter not in led.slots:
         return
     if fault.fault == FAULT_WRONG_VERSION:
-        _close_wrong_slot(world, world.leaders.led[led.endpoint], adapter)
+        _close_wrong_slot(world, world.leaders.led_endpoints[led.endpoint], adapter)
     elif fault.fault == FAULT_NOT_LOADED:
-        _remove_slot(world, world.leaders.led[led.endpoint], adapter)
+        _remove_slot(world, world.leaders.led_endpoints[led.endpoint], adapter)
 
 
 def _close_wrong_slot(world: World, led: LedEndpoint, adapter: AdapterVersion) -> None:
--- a/src/kestreltally/systems/holding.py
+++ b/src/kestreltally/systems/holding.py
@@ -202,7 +202,7 @@
     silence = world.now - max(first_sent, waiter.received_at)
     if silence > timing.ask_refresh * MAX_UNANSWERED_REFRESHES:
         world.entry.silent_until[waiter.endpoint] = world.now + SILENT_LEADER_BACKOFF
-        world.entry.hints.pop(waiter.endpoint, None)
+        world.entry.leader_hints.pop(waiter.endpoint, None)
         _withdraw(world, waiter)
         _ask_next(world, replace(_clear_ask(waiter), last_reason="leader silent"))
     elif not waiter.sent_at or world.now - waiter.sent_at[-1] >= timing.ask_refresh:
@@ -393,9 +393,9 @@
 
 
 def _follow_hint(world: World, endpoint: EndpointId, leader: str) -> None:
-    world.entry.hints.pop(endpoint, None)
+    world.entry.leader_hints.pop(endpoint, None)
     if leader and is_reachable(world, VmId(leader)):
-        world.entry.hints[endpoint] = VmId(leader)
+        world.entry.leader_hints[endpoint] = VmId(leader)
 
 
 @handles_event(PermitUsed)
--- a/src/kestreltally/systems/leadership.py
+++ b/src/kestreltally/systems/leadership.py
@@ -113,7 +113,7 @@
 
 def find_leader(world: World, endpoint: EndpointId) -> VmId | None:
     """Return the daemon to ask for permits: a hint, the recorded leader or owner."""
-    hint = world.entry.hints.get(endpoint)
+    hint = world.entry.leader_hints.get(endpoint)
     if hint is not None and is_reachable(world, hint):
         return hint
     record = world.leaders.records.get(endpoint)
@@ -161,7 +161,7 @@
 
 def _can_claim(world: World, endpoint: EndpointId) -> bool:
     table = world.leaders
-    if endpoint in table.led or endpoint in table.claiming:
+    if endpoint in table.led_endpoints or endpoint in table.pending_claims:
         return False
     if endpoint in table.offers:
         return True
@@ -205,7 +205,9 @@
         change=str(UUID(int=world.random.getrandbits(128))),
     )
     expected = 0 if before is None else before.version
-    table.claiming[endpoint] = PendingClaim(since=world.now, expected_version=expected)
+    table.pending_claims[endpoint] = PendingClaim(
+        since=world.now, expected_version=expected
+    )
     table.last_claims[endpoint] = world.now
     world.outbox.append(ClaimEndpoint(record=record, expected_version=expected))
     world.events.add(
@@ -222,9 +224,9 @@
     """Claim endpoints offered to this daemon, and owned ones without a live leader."""
     _refresh_owners(world)
     table = world.leaders
-    for endpoint, claiming in list(table.claiming.items()):
+    for endpoint, claiming in list(table.pending_claims.items()):
         if world.now - claiming.since > CLAIM_TTL:
-            del table.claiming[endpoint]
+            del table.pending_claims[endpoint]
     if world.members.leaving:
         return
     settled = world.now - world.started_at >= world.settings.timing.settle
@@ -241,7 +243,7 @@
     if offer is None or offer.version != version:
         return None
     for permit in offer.permits:
-        world.book.permits[permit.permit] = permit
+        world.grants.permits[permit.permit] = permit
     return offer
 
 
@@ -249,7 +251,7 @@
 def apply_claim_result(world: World, ended: ClaimEnded) -> None:
     """Start to lead after a successful claim; record the winner after a lost one."""
     table = world.leaders
-    claiming = table.claiming.pop(ended.endpoint, None)
+    claiming = table.pending_claims.pop(ended.endpoint, None)
     if ended.record is not None:
         _apply_record(world, ended.record)
     newest = table.records.get(ended.endpoint)
@@ -282,7 +284,7 @@
     unloads_allowed_at = world.now + max(lease_wait + permit_wait, orders_wait)
     if offer is not None:
         unloads_allowed_at = offer.unloads_allowed_at
-    world.leaders.led[record.endpoint] = LedEndpoint(
+    world.leaders.led_endpoints[record.endpoint] = LedEndpoint(
         endpoint=record.endpoint,
         record=record,
         phase=Phase.CLAIMED,
@@ -308,8 +310,8 @@
     if known is not None and known.version >= record.version:
         return
     table.records[record.endpoint] = record
-    world.entry.hints.pop(record.endpoint, None)
-    led = table.led.get(record.endpoint)
+    world.entry.leader_hints.pop(record.endpoint, None)
+    led = table.led_endpoints.get(record.endpoint)
     if led is not None and record.epoch > led.record.epoch:
         world.leaders.isolated_losses += not has_contact(world)
         stop_leading(world, record.endpoint, "another leads")
@@ -324,15 +326,15 @@
 
 def stop_leading(world: World, endpoint: EndpointId, reason: str) -> None:
     """Remove the leader state, permits, asks and loads of an endpoint."""
-    world.leaders.led.pop(endpoint, None)
+    world.leaders.led_endpoints.pop(endpoint, None)
     for permit in list(world.permits_of(endpoint)):
-        del world.book.permits[permit.permit]
-    for key in [each for each in world.book.views_reported if each[1] == endpoint]:
-        del world.book.views_reported[key]
-    for ask in [a for a in world.book.asks.values() if a.endpoint == endpoint]:
-        del world.book.asks[ask.ask]
-    for load in [a for a in world.book.loads.values() if a.endpoint == endpoint]:
-        del world.book.loads[load.load]
+        del world.grants.permits[permit.permit]
+    for key in [each for each in world.grants.views_reported if each[1] == endpoint]:
+        del world.grants.views_reported[key]
+    for ask in [a for a in world.grants.asks.values() if a.endpoint == endpoint]:
+        del world.grants.asks[ask.ask]
+    for load in [a for a in world.grants.loads.values() if a.endpoint == endpoint]:
+        del world.grants.loads[load.load]
     world.events.add(PART, "stops leading", reason=reason, endpoint=endpoint)
 
 
@@ -340,12 +342,12 @@
 def maintain_confirmation(world: World) -> None:
     """Suspend unconfirmed leaderships; read the object API before the lease ends."""
     lease = world.settings.timing.lease
-    for led in list(world.leaders.led.values()):
+    for led in list(world.leaders.led_endpoints.values()):
         if led.endpoint not in world.config.endpoints:
             stop_leading(world, led.endpoint, "endpoint removed from the configuration")
             continue
         if led.phase in ACTIVE and not is_confirmed(world, led):
-            led = world.update_led(led, phase=Phase.SUSPENDED)
+            led = world.update_led_endpoint(led, phase=Phase.SUSPENDED)
             world.events.add(
                 PART,
                 "suspends",
@@ -357,7 +359,7 @@
             world.now - led.confirm_requested_at < lease * CONFIRM_FRACTION / 2
         )
         if (due or led.phase is Phase.SUSPENDED) and not asked_recently:
-            world.update_led(led, confirm_requested_at=world.now)
+            world.update_led_endpoint(led, confirm_requested_at=world.now)
             world.outbox.append(ReadLeader(endpoint=led.endpoint))
 
 
@@ -367,14 +369,14 @@
     if read.failed or read.record is None:
         return
     _apply_record(world, read.record)
-    led = world.leaders.led.get(read.endpoint)
+    led = world.leaders.led_endpoints.get(read.endpoint)
     if led is None or read.record.change != led.record.change:
         return
     if read.asked_at <= led.confirmed_at:
         return
-    led = world.update_led(led, confirmed_at=read.asked_at)
+    led = world.update_led_endpoint(led, confirmed_at=read.asked_at)
     if led.phase is Phase.SUSPENDED and is_confirmed(world, led):
-        world.update_led(led, phase=Phase.CLAIMED, fence_requested_at=NEVER)
+        world.update_led_endpoint(led, phase=Phase.CLAIMED, fence_requested_at=NEVER)
         world.events.add(
             PART,
             "resumes",
@@ -386,27 +388,27 @@
 @runs_each_tick(32, on_wake=True)
 def raise_fences(world: World) -> None:
     """Raise the fence at each newly claimed endpoint."""
-    for led in list(world.leaders.led.values()):
+    for led in list(world.leaders.led_endpoints.values()):
         if led.phase is not Phase.CLAIMED or not is_confirmed(world, led):
             continue
         spec = world.config.endpoints[led.endpoint]
         if spec.kind is EndpointKind.SERVICE or not spec.checks_fence:
             _become_fenced(world, led)
         elif world.now - led.fence_requested_at >= FENCE_RETRY_INTERVAL:
-            world.update_led(led, fence_requested_at=world.now)
+            world.update_led_endpoint(led, fence_requested_at=world.now)
             token = make_token(world, led)
             world.outbox.append(RaiseFence(endpoint=led.endpoint, epoch=token))
 
 
 def _become_fenced(world: World, led: LedEndpoint) -> None:
-    world.update_led(led, phase=Phase.FENCED)
+    world.update_led_endpoint(led, phase=Phase.FENCED)
     world.events.add(PART, "acts as leader", endpoint=led.endpoint)
 
 
 @handles_event(FenceRaised)
 def apply_fence_result(world: World, raised: FenceRaised) -> None:
     """Act as leader once the endpoint refuses orders of earlier leaders."""
-    led = world.leaders.led.get(raised.endpoint)
+    led = world.leaders.led_endpoints.get(raised.endpoint)
     if led is None or led.phase is not Phase.CLAIMED:
         return
     if raised.epoch >> TOKEN_BITS != led.record.epoch:
@@ -414,7 +416,9 @@
     if raised.outcome is OrderOutcome.DONE:
         _become_fenced(world, led)
     elif raised.outcome is OrderOutcome.FENCED_OFF:
-        world.update_led(led, confirm_requested_at=NEVER, phase=Phase.SUSPENDED)
+        world.update_led_endpoint(
+            led, confirm_requested_at=NEVER, phase=Phase.SUSPENDED
+        )
 
 
 def _make_handed_permit(world: World, permit: GrantedPermit) -> HandedPermit:
@@ -446,7 +450,7 @@
 def hand_over(world: World) -> None:
     """Hand endpoints over to the daemons that should lead them."""
     timeout = world.settings.timing.hand_over_timeout
-    for led in list(world.leaders.led.values()):
+    for led in list(world.leaders.led_endpoints.values()):
         if led.phase is Phase.HANDING_OVER:
             if world.now - led.handed_over_at > timeout:
                 stop_leading(world, led.endpoint, "the offer was not accepted")
@@ -476,7 +480,7 @@
             _make_handed_permit(world, each) for each in world.permits_of(led.endpoint)
         ],
     )
-    world.update_led(led, phase=Phase.HANDING_OVER, handed_over_at=world.now)
+    world.update_led_endpoint(led, phase=Phase.HANDING_OVER, handed_over_at=world.now)
     world.send(owner, offer)
     world.events.add(
         PART,
@@ -528,8 +532,10 @@
 def suspend_after_pause(world: World, paused_for: Seconds) -> None:
     """Suspend all leaderships until the object API has been read again."""
     world.leaders.offers.clear()
-    for led in list(world.leaders.led.values()):
-        world.update_led(led, phase=Phase.SUSPENDED, confirm_requested_at=NEVER)
+    for led in list(world.leaders.led_endpoints.values()):
+        world.update_led_endpoint(
+            led, phase=Phase.SUSPENDED, confirm_requested_at=NEVER
+        )
 
 
 def mark_unsure(world: World, led: LedEndpoint, adapter: AdapterVersion) -> None:
--- a/src/kestreltally/systems/loading.py
+++ b/src/kestreltally/systems/loading.py
@@ -90,7 +90,7 @@
 def list_backlogs(world: World, led: LedEndpoint) -> list[Backlog]:
     """Return the requested and pinned adapters without a slot, most urgent first."""
     waiting: dict[AdapterVersion, list[Ask]] = defaultdict(list)
-    for ask in world.book.asks.values():
+    for ask in world.grants.asks.values():
         absent = ask.adapter != SERVICE and ask.adapter not in led.slots
         if ask.endpoint == led.endpoint and absent:
             waiting[ask.adapter].append(ask)
@@ -134,7 +134,7 @@
 
 def list_loads(world: World, endpoint: EndpointId) -> list[Load]:
     """Return the loads that are planned or in flight at an endpoint."""
-    return [load for load in world.book.loads.values() if load.endpoint == endpoint]
+    return [load for load in world.grants.loads.values() if load.endpoint == endpoint]
 
 
 def _choose_victim(world: World, led: LedEndpoint, backlog: Backlog) -> Slot | None:
@@ -143,7 +143,7 @@
     A busy slot is chosen only after the backlog has waited for CLOSE_BUSY_DELAY.
     """
     waiting: dict[AdapterVersion, int] = defaultdict(int)
-    for ask in world.book.asks.values():
+    for ask in world.grants.asks.values():
         if ask.endpoint == led.endpoint:
             waiting[ask.adapter] += 1
     pinned = list_pinned(world, led.endpoint)
@@ -175,9 +175,9 @@
 @runs_each_tick(70, on_wake=True)
 def plan_loads(world: World) -> None:
     """Plan loads for waiting adapters, within the endpoint's concurrency limit."""
-    if not (world.book.asks or world.book.loads or world.config.pinned):
+    if not (world.grants.asks or world.grants.loads or world.config.pinned):
         return
-    for led in list(world.leaders.led.values()):
+    for led in list(world.leaders.led_endpoints.values()):
         spec = world.config.endpoints[led.endpoint]
         if spec.kind is not EndpointKind.ENGINE or not can_act(world, led):
             continue
@@ -196,7 +196,7 @@
 
 
 def _failed_recently(world: World, led: LedEndpoint, backlog: Backlog) -> bool:
-    failed_at = world.book.failed_loads.get((led.endpoint, backlog.adapter), NEVER)
+    failed_at = world.grants.failed_loads.get((led.endpoint, backlog.adapter), NEVER)
     return world.now - failed_at < FAILED_LOAD_RETRY_DELAY
 
 
@@ -210,7 +210,7 @@
         since=world.now,
         urgency=backlog.urgency,
     )
-    world.book.loads[load.load] = load
+    world.grants.loads[load.load] = load
     world.events.add(
         PART,
         "plans a load",
@@ -224,7 +224,9 @@
 def _cancel_unrequested(world: World, led: LedEndpoint) -> None:
     """Remove planned loads that are no longer requested or pinned."""
     requested = {
-        ask.adapter for ask in world.book.asks.values() if ask.endpoint == led.endpoint
+        ask.adapter
+        for ask in world.grants.asks.values()
+        if ask.endpoint == led.endpoint
     }
     requested.update(list_pinned(world, led.endpoint))
     for load in list_loads(world, led.endpoint):
@@ -233,7 +235,7 @@
 
 
 def _end_load(world: World, load: Load) -> None:
-    world.book.loads.pop(load.load, None)
+    world.grants.loads.pop(load.load, None)
     if load.budget_leader is not None:
         world.send(load.budget_leader, EndLoad(load=load.load))
 
@@ -251,8 +253,8 @@
 @runs_each_tick(71, on_wake=True)
 def assign_slots(world: World) -> None:
     """Assign a slot to each planned load, closing another slot if necessary."""
-    for load in list(world.book.loads.values()):
-        led = world.leaders.led.get(load.endpoint)
+    for load in list(world.grants.loads.values()):
+        led = world.leaders.led_endpoints.get(load.endpoint)
         if led is None or not can_act(world, led):
             continue
         if load.state is not LoadState.WAITING_FOR_SLOT:
@@ -275,14 +277,14 @@
 
 def _set_load(world: World, load: Load, **changes: object) -> Load:
     changed = replace(load, **changes)  # type: ignore[arg-type]
-    world.book.loads[load.load] = changed
+    world.grants.loads[load.load] = changed
     return changed
 
 
 def _close_victim(world: World, led: LedEndpoint, load: Load) -> None:
     asks = [
         ask
-        for ask in world.book.asks.values()
+        for ask in world.grants.asks.values()
         if ask.endpoint == load.endpoint and ask.adapter == load.adapter
     ]
     if not asks:
@@ -304,7 +306,7 @@
 @runs_each_tick(72, on_wake=True)
 def unload_closed(world: World) -> None:
     """Order the unloading of closed slots that can no longer be in use."""
-    for led in list(world.leaders.led.values()):
+    for led in list(world.leaders.led_endpoints.values()):
         if not can_act(world, led):
             continue
         for slot in led.slots.values():
@@ -356,8 +358,8 @@
 
     If the budget leader does not answer, fall back to this daemon's static share.
     """
-    for load in list(world.book.loads.values()):
-        led = world.leaders.led.get(load.endpoint)
+    for load in list(world.grants.loads.values()):
+        led = world.leaders.led_endpoints.get(load.endpoint)
         if load.state is not LoadState.WAITING_FOR_BUDGET or led is None:
             continue
         if not can_act(world, led):
@@ -384,7 +386,7 @@
 def _is_static_share_free(world: World) -> bool:
     """Return whether this daemon's static share, one load at a time, allows a load."""
     return not any(
-        load.state is LoadState.ORDERED for load in world.book.loads.values()
+        load.state is LoadState.ORDERED for load in world.grants.loads.values()
     ) and _is_budget_leader_silent(world)
 
 
@@ -392,15 +394,15 @@
     leader = find_budget_leader(world)
     if leader is None:
         return True
-    received_at = world.book.budget_received_at
+    received_at = world.grants.budget_received_at
     return world.now - received_at > BUDGET_FALLBACK_DELAY
 
 
 @handles_message(GrantLoad)
 def receive_load_grant(world: World, sender: VmId, granted: GrantLoad) -> None:
     """Order the load that the budget leader has granted."""
-    world.book.budget_received_at = world.now
-    load = world.book.loads.get(granted.load)
+    world.grants.budget_received_at = world.now
+    load = world.grants.loads.get(granted.load)
     if load is None:
         world.send(sender, EndLoad(load=granted.load))
     elif load.state is LoadState.WAITING_FOR_BUDGET:
@@ -409,7 +411,7 @@
 
 def order_load(world: World, load: Load) -> None:
     """Order a load, if this daemon can still act as the endpoint's leader."""
-    led = world.leaders.led.get(load.endpoint)
+    led = world.leaders.led_endpoints.get(load.endpoint)
     if led is None or not can_act(world, led) or load.adapter in led.slots:
         _end_load(world, load)
         return
@@ -440,7 +442,7 @@
 @handles_event(LoadEnded)
 def apply_load_result(world: World, ended: LoadEnded) -> None:
     """Add the slot of a loaded adapter, or record the failure."""
-    load = world.book.loads.get(ended.load)
+    load = world.grants.loads.get(ended.load)
     if load is None:
         return
     took = world.now - load.asked_at
@@ -452,29 +454,29 @@
         adapter=str(ended.adapter),
         detail=f"{took:.3f} s",
     )
-    led = world.leaders.led.get(ended.endpoint)
+    led = world.leaders.led_endpoints.get(ended.endpoint)
     if led is not None and ended.epoch >> TOKEN_BITS != led.record.epoch:
         return
     if ended.outcome is not OrderOutcome.DONE or led is None:
-        world.book.failed_loads[(ended.endpoint, ended.adapter)] = world.now
+        world.grants.failed_loads[(ended.endpoint, ended.adapter)] = world.now
         _prune_old_failures(world)
         return
-    world.book.load_time += LOAD_TIME_WEIGHT * (took - world.book.load_time)
+    world.grants.load_time += LOAD_TIME_WEIGHT * (took - world.grants.load_time)
     slot = Slot(adapter=ended.adapter, loaded_at=world.now, used_at=world.now)
-    led = world.update_led(led, changed_at=world.now)
+    led = world.update_led_endpoint(led, changed_at=world.now)
     world.put_slot(led, slot)
 
 
 def _prune_old_failures(world: World) -> None:
-    for key, failed_at in list(world.book.failed_loads.items()):
+    for key, failed_at in list(world.grants.failed_loads.items()):
         if world.now - failed_at > FAILED_LOAD_RETRY_DELAY:
-            del world.book.failed_loads[key]
+            del world.grants.failed_loads[key]
 
 
 @handles_event(UnloadEnded)
 def apply_unload_result(world: World, ended: UnloadEnded) -> None:
     """Remove the slot after a successful unload; otherwise keep it closed."""
-    led = world.leaders.led.get(ended.endpoint)
+    led = world.leaders.led_endpoints.get(ended.endpoint)
     if led is None or ended.adapter not in led.slots:
         return
     if ended.outcome is OrderOutcome.DONE:
--- a/src/kestreltally/systems/membership.py
+++ b/src/kestreltally/systems/membership.py
@@ -208,15 +208,17 @@
 def _ping_next(world: World) -> None:
     """Ping the next daemon of a shuffled round."""
     table = world.members
-    while table.round:
-        vm = table.round.pop()
+    while table.probe_order:
+        vm = table.probe_order.pop()
         if vm in table.known and _is_pingable(table.known[vm]):
             _ping_member(world, vm)
             return
-    table.round = [vm for vm, member in table.known.items() if _is_pingable(member)]
-    world.random.shuffle(table.round)
-    if table.round:
-        _ping_member(world, table.round.pop())
+    table.probe_order = [
+        vm for vm, member in table.known.items() if _is_pingable(member)
+    ]
+    world.random.shuffle(table.probe_order)
+    if table.probe_order:
+        _ping_member(world, table.probe_order.pop())
 
 
 def _probe_dead(world: World) -> None:
--- a/src/kestreltally/systems/reports.py
+++ b/src/kestreltally/systems/reports.py
@@ -22,36 +22,36 @@
 def request_reports(world: World) -> None:
     """Request a report from each led endpoint when one is due."""
     period = world.settings.timing.report_period
-    for led in list(world.leaders.led.values()):
+    for led in list(world.leaders.led_endpoints.values()):
         if world.now - led.report_requested_at >= period:
-            world.update_led(led, report_requested_at=world.now)
+            world.update_led_endpoint(led, report_requested_at=world.now)
             world.outbox.append(FetchReport(endpoint=led.endpoint))
 
 
 @handles_event(ReportFetched)
 def apply_report(world: World, fetched: ReportFetched) -> None:
     """Update the state of a led endpoint from its report."""
-    led = world.leaders.led.get(fetched.endpoint)
+    led = world.leaders.led_endpoints.get(fetched.endpoint)
     report = fetched.report
     if led is None or report is None:
         return
     if led.report is not None and report.composed_at < led.report.composed_at:
         return
     if report.fence >> TOKEN_BITS > led.record.epoch:
-        world.update_led(led, phase=Phase.SUSPENDED)
+        world.update_led_endpoint(led, phase=Phase.SUSPENDED)
         return
     if led.instance and report.instance != led.instance:
         led = _reset_instance(world, led)
     if report.leaving and not led.leaving:
         world.events.add(PART, "says it is leaving", endpoint=led.endpoint)
-    led = world.update_led(
+    led = world.update_led_endpoint(
         led,
         instance=report.instance,
         report=report,
         leaving=report.leaving,
     )
     _close_expired_permits(world, led, report)
-    world.update_led(led, slots=_merge_slots(world, led, report))
+    world.update_led_endpoint(led, slots=_merge_slots(world, led, report))
 
 
 def _reset_instance(world: World, led: LedEndpoint) -> LedEndpoint:
@@ -59,12 +59,14 @@
     world.events.add(PART, "restarted with nothing loaded", endpoint=led.endpoint)
     for permit in list(world.permits_of(led.endpoint)):
         if permit.state is PermitState.EXPIRED:
-            del world.book.permits[permit.permit]
-    for load in list(world.book.loads.values()):
+            del world.grants.permits[permit.permit]
+    for load in list(world.grants.loads.values()):
         if load.endpoint == led.endpoint and load.state is LoadState.ORDERED:
-            del world.book.loads[load.load]
+            del world.grants.loads[load.load]
     phase = Phase.CLAIMED if led.phase is Phase.FENCED else led.phase
-    return world.update_led(led, slots={}, phase=phase, fence_requested_at=NEVER)
+    return world.update_led_endpoint(
+        led, slots={}, phase=phase, fence_requested_at=NEVER
+    )
 
 
 def _close_expired_permits(
@@ -79,7 +81,7 @@
     for permit in list(world.permits_of(led.endpoint)):
         expired = permit.state is PermitState.EXPIRED
         if expired and report.composed_at > permit.expires_at:
-            del world.book.permits[permit.permit]
+            del world.grants.permits[permit.permit]
             world.events.add(
                 PART,
                 "closes a permit whose holder is silent",
@@ -95,7 +97,7 @@
 ) -> dict[AdapterVersion, Slot]:
     loading = {
         load.adapter
-        for load in world.book.loads.values()
+        for load in world.grants.loads.values()
         if load.endpoint == led.endpoint and load.state is LoadState.ORDERED
     }
     slots = {}
--- a/src/kestreltally/world.py
+++ b/src/kestreltally/world.py
@@ -49,7 +49,7 @@
     Order,
     OutsideEvent,
     SendMessage,
-    WantAnswer,
+    WaiterAnswer,
 )
 from kestreltally.peers.messages import PeerMessage
 from kestreltally.settings import Settings
@@ -123,7 +123,7 @@
     listed: dict[VmId, ListedVm] = field(default_factory=dict)
     rumours: dict[VmId, int] = field(default_factory=dict)
     pending: dict[int, PendingPing] = field(default_factory=dict)
-    round: list[VmId] = field(default_factory=list)
+    probe_order: list[VmId] = field(default_factory=list)
     unprobed_vms: list[ListedVm] = field(default_factory=list)
     latest_ack: Seconds = NEVER
     suspects_checked_at: Seconds = NEVER
@@ -142,12 +142,12 @@
     """The stored leader records, and the endpoints that this daemon leads."""
 
     records: dict[EndpointId, LeaderRecord] = field(default_factory=dict)
-    led: dict[EndpointId, LedEndpoint] = field(default_factory=dict)
+    led_endpoints: dict[EndpointId, LedEndpoint] = field(default_factory=dict)
     owned: frozenset[EndpointId] = frozenset()
     owners: dict[EndpointId, VmId | None] = field(default_factory=dict)
     vms_by_data_centre: dict[str, list[str]] = field(default_factory=dict)
     owned_as_of: tuple[int, Revision] = (-1, -1)
-    claiming: dict[EndpointId, PendingClaim] = field(default_factory=dict)
+    pending_claims: dict[EndpointId, PendingClaim] = field(default_factory=dict)
     last_claims: dict[EndpointId, Seconds] = field(default_factory=dict)
     offers: dict[EndpointId, Offer] = field(default_factory=dict)
     sequences: dict[EndpointId, int] = field(default_factory=dict)
@@ -155,7 +155,7 @@
 
 
 @dataclass
-class LeaderBook:
+class GrantTable:
     """The permits and loads that this daemon has granted as a leader."""
 
     asks: dict[AskId, Ask] = field(default_factory=dict)
@@ -173,26 +173,26 @@
 
 
 @dataclass
-class BudgetBook:
+class BudgetTable:
     """The load budget, kept by the daemon that leads it."""
 
     asks: dict[str, BudgetAsk] = field(default_factory=dict)
     tokens: float = 1.0
-    filled_at: Seconds = 0.0
+    refilled_at: Seconds = 0.0
 
 
 @dataclass
-class EntryBook:
+class EntryTable:
     """The waiting requests and permits of this daemon as an entry."""
 
     waiters: dict[str, Waiter] = field(default_factory=dict)
     held: dict[PermitId, HeldPermit] = field(default_factory=dict)
     views: dict[EndpointId, EndpointView] = field(default_factory=dict)
     breakers: dict[EndpointId, Breaker] = field(default_factory=dict)
-    hints: dict[EndpointId, VmId] = field(default_factory=dict)
+    leader_hints: dict[EndpointId, VmId] = field(default_factory=dict)
     silent_until: dict[EndpointId, Seconds] = field(default_factory=dict)
     leaving: dict[EndpointId, Seconds] = field(default_factory=dict)
-    answers: list[WantAnswer] = field(default_factory=list)
+    answers: list[WaiterAnswer] = field(default_factory=list)
     ask_sequence: int = 0
 
 
@@ -213,9 +213,9 @@
     members: MemberTable = field(default_factory=MemberTable)
     config: ConfigTable = field(default_factory=ConfigTable)
     leaders: LeaderTable = field(default_factory=LeaderTable)
-    book: LeaderBook = field(default_factory=LeaderBook)
-    budget: BudgetBook = field(default_factory=BudgetBook)
-    entry: EntryBook = field(default_factory=EntryBook)
+    grants: GrantTable = field(default_factory=GrantTable)
+    budget: BudgetTable = field(default_factory=BudgetTable)
+    entry: EntryTable = field(default_factory=EntryTable)
 
     def send(self, to: VmId, message: PeerMessage) -> None:
         """Send a message to a daemon; one to itself bypasses the network."""
@@ -237,20 +237,20 @@
         order = SendMessage(to=to, host=host, port=port, message=message)
         self.outbox.append(order)
 
-    def update_led(self, led: LedEndpoint, **changes: object) -> LedEndpoint:
+    def update_led_endpoint(self, led: LedEndpoint, **changes: object) -> LedEndpoint:
         """Replace a led endpoint by a changed copy, and return it."""
         changed = replace(led, **changes)  # type: ignore[arg-type]
-        self.leaders.led[led.endpoint] = changed
+        self.leaders.led_endpoints[led.endpoint] = changed
         return changed
 
     def put_slot(self, led: LedEndpoint, slot: Slot) -> LedEndpoint:
         """Put a slot into a led endpoint's table."""
-        return self.update_led(led, slots={**led.slots, slot.adapter: slot})
+        return self.update_led_endpoint(led, slots={**led.slots, slot.adapter: slot})
 
     def drop_slot(self, led: LedEndpoint, adapter: AdapterVersion) -> LedEndpoint:
         """Remove a slot; older reports cannot restore it."""
         slots = {name: slot for name, slot in led.slots.items() if name != adapter}
-        return self.update_led(led, slots=slots, changed_at=self.now)
+        return self.update_led_endpoint(led, slots=slots, changed_at=self.now)
 
     def permits_of(
         self,
@@ -258,7 +258,7 @@
         adapter: AdapterVersion | None = None,
     ) -> Iterable[GrantedPermit]:
         """Yield the granted permits for an endpoint, optionally of one adapter only."""
-        for permit in self.book.permits.values():
+        for permit in self.grants.permits.values():
             if permit.endpoint != endpoint:
                 continue
             if adapter is None or permit.adapter == adapter:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -190,7 +190,9 @@
         loop = asyncio.get_running_loop()
         until = loop.time() + limit
         while loop.time() < until and self.is_up:
-            if not (world.leaders.led or self.server.live or world.entry.held):
+            if not (
+                world.leaders.led_endpoints or self.server.live or world.entry.held
+            ):
                 break
             await asyncio.sleep(0.05)
         if not self.is_up:
--- a/tests/leaderrig.py
+++ b/tests/leaderrig.py
@@ -251,7 +251,7 @@
         slots=4,
         leaving=False,
         weights=held,
-        born=engine.born,
+        start_time_ms=engine.born,
     )
 
 
--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -89,7 +89,7 @@
 def find_leader_node(fleet: Fleet, node: Node, event: Event) -> Node:
     """Return the node that leads the event's endpoint, or ``node`` if none leads it."""
     for each in fleet.nodes:
-        if EndpointId(event.endpoint) in each.runtime.world.leaders.led:
+        if EndpointId(event.endpoint) in each.runtime.world.leaders.led_endpoints:
             return each
     return node
 
--- a/tests/mutations.py
+++ b/tests/mutations.py
@@ -116,8 +116,8 @@
         world: Any, record: Any, claimed_at: float, offer: Any
     ) -> None:
         start_leading(world, record, claimed_at, offer)
-        led = world.leaders.led[record.endpoint]
-        world.update_led(led, orders_allowed_at=0.0, unloads_allowed_at=0.0)
+        led = world.leaders.led_endpoints[record.endpoint]
+        world.update_led_endpoint(led, orders_allowed_at=0.0, unloads_allowed_at=0.0)
 
     _replace(stack, leadership, "_start_leading", start_without_waits)
     _replace(
--- a/tests/poisonsim.py
+++ b/tests/poisonsim.py
@@ -15,7 +15,7 @@
 from random import Random
 from statistics import mean
 
-from kestreltally.poison.facts import Fact, Life, Sighting, make_clearing
+from kestreltally.poison.facts import Fact, IncarnationName, Sighting, make_clearing
 from kestreltally.poison.fingerprints import Digest, Fingerprint
 from kestreltally.poison.register import PoisonRegister
 
@@ -178,7 +178,7 @@
         if engine not in self._up:
             return
         self._up.discard(engine)
-        life = Life(f"e{engine}.{self._lives[engine]}")
+        incarnation = IncarnationName(f"e{engine}.{self._lives[engine]}")
         self._lives[engine] += 1
         self.metrics.ends += 1
         if self.metrics.ends == 3:
@@ -191,7 +191,7 @@
             facts: list[Fact] = [
                 Sighting(
                     make_fingerprint(name),
-                    life,
+                    incarnation,
                     since,
                     self._now,
                     True,
@@ -202,7 +202,9 @@
             if daemon is sender:
                 poison = make_fingerprint(POISON)
                 witness = self._daemons.index(daemon)
-                facts.append(Sighting(poison, life, sent_at, self._now, False, witness))
+                facts.append(
+                    Sighting(poison, incarnation, sent_at, self._now, False, witness)
+                )
             if facts and not daemon.lost:
                 self._report(daemon, facts)
         self.later(RESTART_TIME, lambda: self._up.add(engine))
--- a/tests/quotasim.py
+++ b/tests/quotasim.py
@@ -289,7 +289,7 @@
         for other_number, other in enumerate(self.leaders):
             if other is None or other_number == number:
                 continue
-            spendings: list[Spending] = leader.unsent[other_number].take(self.now)
+            spendings: list[Spending] = leader.unsent[other_number].pop(self.now)
             ledger = other.ledger
             self._post(lambda to=ledger, s=spendings: to.record(s, self.now))  # type: ignore[misc]
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -79,7 +79,7 @@
     world = make_test_world()
     world.inbox.append(MessageArrived(VmId("vm-9"), 1, message))
     run_step(world, world.now)
-    assert not world.members.known and not world.book.asks
+    assert not world.members.known and not world.grants.asks
 
 
 @settings(derandomize=True, max_examples=200, deadline=None)
--- a/tests/test_ends.py
+++ b/tests/test_crashes.py
@@ -10,13 +10,13 @@
 from kestreltally.entry.request import ClientRequest
 from kestreltally.fleet.model import Endpoint, EndpointId, RequestKind, ServiceSpec
 from kestreltally.platform.headers import RequestHead
-from kestreltally.poison.crashes import (
+from kestreltally.poison.crash_detector import (
     ATTEMPT_RETENTION,
     MIN_SILENCE,
     Attempt,
     CrashDetector,
 )
-from kestreltally.poison.facts import Life, Sighting, format_life
+from kestreltally.poison.facts import IncarnationName, Sighting, format_incarnation
 from kestreltally.poison.fingerprints import make_fingerprint, make_outline
 from kestreltally.poison.register import PoisonRegister
 from kestreltally.poison.secret import (
@@ -46,9 +46,17 @@
     return ClientRequest("POST", path, (), body, head, make_route(), service, 0.0, 5.0)
 
 
-def make_endpoint(port: int = 1, born: int = 7) -> Endpoint:
+def make_endpoint(port: int = 1, start_time_ms: int = 7) -> Endpoint:
     return Endpoint(
-        EndpointId("e1"), PLAIN, "127.0.0.1", port, "north", 4, False, {}, born=born
+        EndpointId("e1"),
+        PLAIN,
+        "127.0.0.1",
+        port,
+        "north",
+        4,
+        False,
+        {},
+        start_time_ms=start_time_ms,
     )
 
 
@@ -72,11 +80,13 @@
     def send(self, endpoint: Endpoint, request: ClientRequest | None = None) -> Attempt:
         return self.watch.start(request or make_request(), endpoint)
 
-    def list_incarnations(self, request: ClientRequest | None = None) -> set[Life]:
+    def list_incarnations(
+        self, request: ClientRequest | None = None
+    ) -> set[IncarnationName]:
         digest = make_fingerprint(request or make_request(), SECRET).digest
         facts = self.register.fact_log.list_since(0)
         return {
-            each.life  # type: ignore[union-attr]
+            each.incarnation  # type: ignore[union-attr]
             for each in facts
             if each.fingerprint.digest == digest
         }
@@ -101,7 +111,7 @@
     flight.broken_off = True
     rig.watch.end(flight)
     await asyncio.sleep(0.1)
-    assert rig.list_incarnations() == {format_life(endpoint)}
+    assert rig.list_incarnations() == {format_incarnation(endpoint)}
 
 
 async def test_broken_connection_to_a_listening_endpoint_is_not_an_end() -> None:
@@ -139,7 +149,7 @@
     rig.send(make_endpoint())
     rig.clock.now += MIN_SILENCE + 0.1
     signal_end(rig.watch, make_endpoint())
-    assert rig.list_incarnations() == {format_life(make_endpoint())}
+    assert rig.list_incarnations() == {format_incarnation(make_endpoint())}
 
 
 async def test_removed_entry_of_an_answering_endpoint_is_not_an_end() -> None:
@@ -175,9 +185,9 @@
 async def test_only_requests_of_the_ended_incarnation_are_linked_to_the_end() -> None:
     rig = Rig()
     other = make_request(body=b"other")
-    rig.send(make_endpoint(born=7))
-    rig.send(make_endpoint(born=9), other)
-    rig.watch.record_replaced(make_endpoint(born=7))
+    rig.send(make_endpoint(start_time_ms=7))
+    rig.send(make_endpoint(start_time_ms=9), other)
+    rig.watch.record_replaced(make_endpoint(start_time_ms=7))
     assert rig.list_incarnations() and not rig.list_incarnations(other)
 
 
@@ -188,7 +198,7 @@
     digest = make_fingerprint(make_request(), SECRET).digest
     assert rig.register.is_suspect(digest)
     rig.clock.now += 1.0
-    flight = rig.send(make_endpoint(born=9))
+    flight = rig.send(make_endpoint(start_time_ms=9))
     flight.complete = flight.answered = True
     rig.watch.end(flight)
     assert not rig.register.is_suspect(digest)
@@ -248,7 +258,7 @@
         seen = make_fingerprint(request, SECRET)
         now = asyncio.get_running_loop().time()
         poison.register.record_reported(
-            [Sighting(seen, Life("b"), now - 1, now - 0.9, False, 1)]
+            [Sighting(seen, IncarnationName("b"), now - 1, now - 0.9, False, 1)]
         )
         await rig.ask("POST", body=b"abc")
         assert poison.register.is_suspect(seen.digest) is suspected
@@ -271,7 +281,9 @@
         def tell() -> None:
             first = clock() - 9
             poison.register.record_reported(
-                Sighting(seen, Life(f"b{n}"), first + n, first + n + 0.1, False, 1)
+                Sighting(
+                    seen, IncarnationName(f"b{n}"), first + n, first + n + 0.1, False, 1
+                )
                 for n in range(3)
             )
 
--- a/tests/test_credit_exchange.py
+++ b/tests/test_credit_exchange.py
@@ -57,7 +57,7 @@
 
     @property
     def limit(self) -> RateLimitState:
-        limit = self.fleet.notices.get_rate_limit(ENDPOINT.id, ENDPOINT.born)
+        limit = self.fleet.notices.get_rate_limit(ENDPOINT.id, ENDPOINT.start_time_ms)
         assert limit is not None
         return limit
 
--- a/tests/test_endpointhealth.py
+++ b/tests/test_endpointhealth.py
@@ -56,5 +56,5 @@
     counter.record_completed(NAME)
     counter.add([Outcome(NAME, 2, 1)])
     counter.record_failed(NAME)
-    assert counter.take() == [Outcome(NAME, 3, 2)]
-    assert counter.take() == []
+    assert counter.pop() == [Outcome(NAME, 3, 2)]
+    assert counter.pop() == []
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -87,7 +87,7 @@
 
 
 def test_entry_without_required_field_is_rejected() -> None:
-    assert decode_endpoint("i-1", GOOD).born == GOOD["born"]
+    assert decode_endpoint("i-1", GOOD).start_time_ms == GOOD["born"]
     for field in ("Service", "Address", "Zone", "Slots", "State"):
         missing = {name: value for name, value in GOOD.items() if name != field}
         try:
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -369,7 +369,7 @@
     fleet.put_endpoint(make_endpoint("e1"))
     fleet.put_endpoint(replace(make_endpoint("e2"), leaving=True))
     assert [each.id for each in fleet.list_holders(MODELS, KEY, 0.0)] == ["e1"]
-    fleet.record_absent(EndpointId("e1"), KEY, 0.0)
+    fleet.record_missing_weights(EndpointId("e1"), KEY, 0.0)
     assert fleet.list_holders(MODELS, KEY, 0.1) == []
     assert len(fleet.list_holders(MODELS, KEY, 10.0)) == 1
     fleet.drop_endpoint(EndpointId("e1"))
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -44,8 +44,10 @@
     fleet = Fleet()
     await fleet.start()
     await fleet.settle(5.0)
-    victim = next(node for node in fleet.nodes if node.runtime.world.leaders.led)
-    endpoints = set(victim.runtime.world.leaders.led)
+    victim = next(
+        node for node in fleet.nodes if node.runtime.world.leaders.led_endpoints
+    )
+    endpoints = set(victim.runtime.world.leaders.led_endpoints)
     await victim.kill()
     waited = 0.0
     while waited < 20.0:
@@ -53,7 +55,7 @@
             endpoint
             for node in fleet.nodes
             if node.is_up
-            for endpoint in node.runtime.world.leaders.led
+            for endpoint in node.runtime.world.leaders.led_endpoints
         }
         if endpoints <= led:
             break
--- a/tests/test_limit_table.py
+++ b/tests/test_limit_table.py
@@ -158,7 +158,7 @@
     table = NoticeTable()
     table.get_issuer_state = lambda _: ISSUER_REACHABLE
     table.record(ENDPOINT, replace(BACKING_OFF, limit=2.0), NOW)
-    limit = table.get_rate_limit(ENDPOINT.id, ENDPOINT.born)
+    limit = table.get_rate_limit(ENDPOINT.id, ENDPOINT.start_time_ms)
     assert limit is not None
     limit.credits.append(NOW + 60)
     assert table.compute_backoff(ENDPOINT, NOW) == 3.0
@@ -178,7 +178,7 @@
     table.record(ENDPOINT, LIMITED, NOW)
     with pytest.raises(Unavailable):
         table.start_send(ENDPOINT, NOW)
-    limit = table.get_rate_limit(ENDPOINT.id, ENDPOINT.born)
+    limit = table.get_rate_limit(ENDPOINT.id, ENDPOINT.start_time_ms)
     assert limit is not None
     limit.credits += [NOW + 0.4, NOW + 0.2]
     table.start_send(ENDPOINT, NOW + 0.1)
@@ -191,7 +191,7 @@
 def test_requests_ramp_up_after_a_limit_ends() -> None:
     table = NoticeTable()
     table.get_issuer_state = lambda _: ISSUER_REACHABLE
-    notice = KnownNotice(ENDPOINT.id, ENDPOINT.born, False, 0.0, 2.0, 1)
+    notice = KnownNotice(ENDPOINT.id, ENDPOINT.start_time_ms, False, 0.0, 2.0, 1)
     table.apply_reported([notice], NOW)
     table.apply_reported([replace(notice, limit=None, limit_version=2)], NOW + 1)
     assert table.start_send(ENDPOINT, NOW + 1)
--- a/tests/test_notice_table.py
+++ b/tests/test_notice_table.py
@@ -35,9 +35,9 @@
     slots=4,
     leaving=False,
     weights={},
-    born=1_000,
+    start_time_ms=1_000,
 )
-REBORN = replace(ENDPOINT, born=2_000)
+REBORN = replace(ENDPOINT, start_time_ms=2_000)
 LEAVING = Notice(leaves=True, backoff=0.0)
 BACKING_OFF = Notice(leaves=False, backoff=3.0)
 NOW = 50.0
@@ -150,7 +150,9 @@
 
 def test_a_backoff_of_another_daemon_affects_planning_only() -> None:
     table = NoticeTable()
-    reported = KnownNotice(ENDPOINT.id, ENDPOINT.born, leaves=False, backoff=2.0)
+    reported = KnownNotice(
+        ENDPOINT.id, ENDPOINT.start_time_ms, leaves=False, backoff=2.0
+    )
     table.apply_reported([reported], NOW)
     assert table.compute_backoff(ENDPOINT, NOW) == 0.0
     assert table.is_constrained(ENDPOINT, NOW + 1.9)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -275,9 +275,9 @@
 
 def test_old_spendings_count_for_less() -> None:
     counter = SpendingCounter()
-    counter.take(100.0)
+    counter.pop(100.0)
     counter.add([Spending(NAME, 800, 800)])
-    assert counter.take(108.0) == [Spending(NAME, 400, 400)]
+    assert counter.pop(108.0) == [Spending(NAME, 400, 400)]
 
 
 def test_a_bucket_may_be_overdrawn_by_one_request() -> None:
--- a/tests/test_register.py
+++ b/tests/test_register.py
@@ -6,7 +6,13 @@
 import pytest
 
 from kestreltally.decisions import COUNTS, Decision
-from kestreltally.poison.facts import Clearing, Fact, Life, Sighting, make_clearing
+from kestreltally.poison.facts import (
+    Clearing,
+    Fact,
+    IncarnationName,
+    Sighting,
+    make_clearing,
+)
 from kestreltally.poison.fingerprints import Digest, Fingerprint
 from kestreltally.poison.register import (
     CRASHES_TO_STOP,
@@ -33,14 +39,21 @@
 
 def make_sighting(
     text: str,
-    life: str,
+    incarnation: str,
     sent: float,
     ended: float,
     *,
     answered: bool = False,
     witness: int = 1,
 ) -> Sighting:
-    return Sighting(make_fingerprint(text), Life(life), sent, ended, answered, witness)
+    return Sighting(
+        make_fingerprint(text),
+        IncarnationName(incarnation),
+        sent,
+        ended,
+        answered,
+        witness,
+    )
 
 
 def make_sightings(
--- a/tests/test_tombstones.py
+++ b/tests/test_tombstones.py
@@ -14,7 +14,7 @@
 from tests.test_fleet_daemon import run_fleet
 from tests.test_knowledge import make_endpoint
 
-REMOVED = replace(make_endpoint("e1"), born=7)
+REMOVED = replace(make_endpoint("e1"), start_time_ms=7)
 # The operators' bound, counted from the store's answer.
 DRAIN_BOUND = 2.0
 
@@ -55,7 +55,7 @@
     # A row from a later read of the store is valid.
     assert not tombstones.is_removed(REMOVED, 100.3)
     # Another incarnation is another endpoint.
-    assert not tombstones.is_removed(replace(REMOVED, born=8), 97.0)
+    assert not tombstones.is_removed(replace(REMOVED, start_time_ms=8), 97.0)
     assert not tombstones.is_removed(replace(REMOVED, id=make_endpoint("e2").id), 97.0)
 
 
