--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -10,21 +10,21 @@
 ADAPTERS: Final = 27_000
 REQUESTS: Final = 50_000.0
 TOKENS: Final = 11_000_000.0
-CHANGES_A_DAY: Final = 3_500.0
-FAILURES_A_DAY: Final = 34.0
-REPLACEMENTS_A_DAY: Final = 600.0
+CHANGES_PER_DAY: Final = 3_500.0
+FAILURES_PER_DAY: Final = 34.0
+REPLACEMENTS_PER_DAY: Final = 600.0
 RACK: Final = 40
-ONCE_SHARE: Final = 0.05
+UNREPEATABLE_FRACTION: Final = 0.05
 DAY: Final = 86_400.0
 
-CPU_BUDGET: Final = 1.4
-MEMORY_BUDGET: Final = 128.0
+CPU_BUDGET_PERCENT: Final = 1.4
+MEMORY_BUDGET_MB: Final = 128.0
 BYTES_BUDGET: Final = 16_000.0
 WRITES_BUDGET: Final = 300.0
 READS_BUDGET: Final = 2_000.0
 
-HEARTBEATS: Final = 2.0
-REPORTS: Final = 2.0
+HEARTBEATS_PER_SECOND: Final = 2.0
+REPORTS_PER_SECOND: Final = 2.0
 WATCH_WAIT: Final = 30.0
 CONFIG_WATCH_WAIT: Final = 1.0
 WATCHERS_PER_DATA_CENTRE: Final = 2
@@ -65,8 +65,8 @@
     change_cpu: float
     change_bytes: float
     heartbeat_cpu: float
-    heartbeat_quiet_bytes: float
-    heartbeat_busy_bytes: float
+    heartbeat_empty_bytes: float
+    heartbeat_rumour_bytes: float
     report_cpu: float
     relay_token: float
     event_cpu: float
@@ -90,50 +90,54 @@
 
 
 @dataclass(frozen=True)
-class Line:
+class CostLine:
     """One line of a sum."""
 
-    what: str
+    description: str
     value: float
     how: str
 
 
-def list_cpu_lines(s: Slopes) -> list[Line]:
+def list_cpu_lines(s: Slopes) -> list[CostLine]:
     """Return one daemon's processor time for control, in per cent of a core."""
     percent = 100 * MICRO
     per_daemon = REQUESTS / DAEMONS
-    membership_changes = (FAILURES_A_DAY * 3 + REPLACEMENTS_A_DAY * 3) / DAY
+    membership_changes = (FAILURES_PER_DAY * 3 + REPLACEMENTS_PER_DAY * 3) / DAY
     tick = s.tick_member.at(DAEMONS) + max(0.0, s.tick_endpoint.slope) * ENGINES
     tick += max(0.0, s.tick_adapter.slope) * ADAPTERS
     return [
-        Line("ticks over all tables", tick * percent, "10 a second"),
-        Line(
+        CostLine("ticks over all tables", tick * percent, "10 a second"),
+        CostLine(
             "permits as entry",
             per_daemon * s.entry_request.at(DAEMONS) * percent,
             f"{per_daemon:.1f} requests/s",
         ),
-        Line(
+        CostLine(
             "permits as leader",
             per_daemon * s.leader_request.at(DAEMONS) * percent,
             f"{per_daemon:.1f} requests/s at 3 engines",
         ),
-        Line(
+        CostLine(
             "heartbeats",
-            2 * HEARTBEATS * s.heartbeat_cpu * percent,
+            2 * HEARTBEATS_PER_SECOND * s.heartbeat_cpu * percent,
             "2 sent and 2 answered a second",
         ),
-        Line("reports", 3 * REPORTS * s.report_cpu * percent, "3 engines, 2/s each"),
-        Line(
+        CostLine(
+            "reports",
+            3 * REPORTS_PER_SECOND * s.report_cpu * percent,
+            "3 engines, 2/s each",
+        ),
+        CostLine(
             "owners worked out anew",
             membership_changes * s.owners.at(ENGINES) * percent,
             f"{membership_changes * DAY:.0f} changes of members a day",
         ),
-        Line(
+        CostLine(
             "configuration",
-            CHANGES_A_DAY / DAY * s.change_cpu * percent,
+            CHANGES_PER_DAY / DAY * s.change_cpu * percent,
             "3,500 changes a day",
         ),
-        Line(
+        CostLine(
             "time line",
             per_daemon * EVENTS_PER_REQUEST * s.event_cpu * percent,
             f"{EVENTS_PER_REQUEST:.0f} events a request",
@@ -141,80 +145,95 @@
     ]
 
 
-def list_byte_lines(s: Slopes) -> list[Line]:
+def list_byte_lines(s: Slopes) -> list[CostLine]:
     """Return one daemon's bytes/s for control, sent and received together."""
     per_daemon = REQUESTS / DAEMONS
-    near = DAEMONS / DATA_CENTRES
+    same_data_centre = DAEMONS / DATA_CENTRES
     return [
-        Line("permits", 2 * per_daemon * s.request_bytes, "as entry and as leader"),
-        Line(
+        CostLine("permits", 2 * per_daemon * s.request_bytes, "as entry and as leader"),
+        CostLine(
             "heartbeats",
-            2 * HEARTBEATS * (s.heartbeat_quiet_bytes + s.heartbeat_busy_bytes) / 2,
+            2
+            * HEARTBEATS_PER_SECOND
+            * (s.heartbeat_empty_bytes + s.heartbeat_rumour_bytes)
+            / 2,
             "half of them with 8 rumours",
         ),
-        Line("reports", 3 * REPORTS * 600.0, "assumed: 600 B each, with HTTP heads"),
-        Line(
+        CostLine(
+            "reports",
+            3 * REPORTS_PER_SECOND * 600.0,
+            "assumed: 600 B each, with HTTP heads",
+        ),
+        CostLine(
             "configuration pushes",
-            CHANGES_A_DAY / DAY * s.change_bytes * near,
+            CHANGES_PER_DAY / DAY * s.change_bytes * same_data_centre,
             "sent by a watcher to its data centre",
         ),
     ]
 
 
-def list_memory_lines(s: Slopes) -> list[Line]:
+def list_memory_lines(s: Slopes) -> list[CostLine]:
     """Return one daemon's memory in MB."""
     mega = 1e-6
     return [
-        Line("interpreter and libraries", s.idle_memory, "resident once imported"),
-        Line("members", s.memory_member.slope * DAEMONS * mega, "1,100"),
-        Line("adapters", s.memory_adapter.slope * ADAPTERS * mega, "27,000"),
-        Line("endpoints", s.memory_endpoint.slope * ENGINES * mega, "3,300"),
-        Line("time line", s.event_bytes * TIMELINE_EVENTS * mega, "20,000 events"),
+        CostLine("interpreter and libraries", s.idle_memory, "resident once imported"),
+        CostLine("members", s.memory_member.slope * DAEMONS * mega, "1,100"),
+        CostLine("adapters", s.memory_adapter.slope * ADAPTERS * mega, "27,000"),
+        CostLine("endpoints", s.memory_endpoint.slope * ENGINES * mega, "3,300"),
+        CostLine("time line", s.event_bytes * TIMELINE_EVENTS * mega, "20,000 events"),
     ]
 
 
-def list_write_lines() -> list[Line]:
+def list_write_lines() -> list[CostLine]:
     """Return the object API's writes a second, in all, by cause."""
-    handovers = REPLACEMENTS_A_DAY * 3 * 2
-    takeovers = FAILURES_A_DAY * 3 * 2
+    handovers = REPLACEMENTS_PER_DAY * 3 * 2
+    takeovers = FAILURES_PER_DAY * 3 * 2
     return [
-        Line("claims", REQUESTS * ONCE_SHARE, "5% of requests not repeatable: assumed"),
-        Line("leader records", (handovers + takeovers) / DAY, "written on change only"),
-        Line("configuration", CHANGES_A_DAY / DAY, "by operators"),
+        CostLine(
+            "claims",
+            REQUESTS * UNREPEATABLE_FRACTION,
+            "5% of requests not repeatable: assumed",
+        ),
+        CostLine(
+            "leader records", (handovers + takeovers) / DAY, "written on change only"
+        ),
+        CostLine("configuration", CHANGES_PER_DAY / DAY, "by operators"),
     ]
 
 
-def list_read_lines() -> list[Line]:
+def list_read_lines() -> list[CostLine]:
     """Return the object API's reads a second, in all, by cause; a watch is one."""
-    changes = (REPLACEMENTS_A_DAY + FAILURES_A_DAY) * 3 * 2 / DAY
+    changes = (REPLACEMENTS_PER_DAY + FAILURES_PER_DAY) * 3 * 2 / DAY
     watchers = DATA_CENTRES * WATCHERS_PER_DATA_CENTRE
     return [
-        Line("watches on leader records", DAEMONS / WATCH_WAIT, "one a daemon, 30 s"),
-        Line("wakes of these watches", changes * DAEMONS, "each change wakes all"),
-        Line(
+        CostLine(
+            "watches on leader records", DAEMONS / WATCH_WAIT, "one a daemon, 30 s"
+        ),
+        CostLine("wakes of these watches", changes * DAEMONS, "each change wakes all"),
+        CostLine(
             "watches on the configuration",
             watchers / CONFIG_WATCH_WAIT,
             "2 daemons in each data centre, 1 s",
         ),
-        Line(
+        CostLine(
             "wakes of these watches",
-            CHANGES_A_DAY / DAY * watchers,
+            CHANGES_PER_DAY / DAY * watchers,
             "3,500 changes a day",
         ),
-        Line(
+        CostLine(
             "lists by new daemons",
-            (REPLACEMENTS_A_DAY + FAILURES_A_DAY) * 2 / DAY,
+            (REPLACEMENTS_PER_DAY + FAILURES_PER_DAY) * 2 / DAY,
             "two each",
         ),
     ]
 
 
-def format_sum(title: str, unit: str, budget: float, lines: list[Line]) -> str:
+def format_sum(title: str, unit: str, budget: float, lines: list[CostLine]) -> str:
     """Return a table of a sum with its margin."""
     total = sum(line.value for line in lines)
-    rows = [f"| {line.what} | {line.value:.4g} | {line.how} |" for line in lines]
+    rows = [f"| {line.description} | {line.value:.4g} | {line.how} |" for line in lines]
     margin = budget / total
-    word = "margin" if margin >= 1 else "**missed**, share of the budget there is"
+    label = "margin" if margin >= 1 else "**missed**, share of the budget there is"
     return "\n".join(
         [
             f"**{title}**",
@@ -222,7 +241,7 @@
             f"| part | {unit} | how |",
             "| --- | ---: | --- |",
             *rows,
-            f"| **all** | **{total:.4g}** | budget {budget:g}; {word} {margin:.2f}x |",
+            f"| **all** | **{total:.4g}** | budget {budget:g}; {label} {margin:.2f}x |",
             "",
         ]
     )
@@ -244,8 +263,8 @@
         ("a heartbeat read, answered and written", f"{slopes.heartbeat_cpu:.0f} µs"),
         (
             "a heartbeat and its answer, without and with 8 rumours",
-            f"{slopes.heartbeat_quiet_bytes:.0f} and "
-            f"{slopes.heartbeat_busy_bytes:.0f} B",
+            f"{slopes.heartbeat_empty_bytes:.0f} and "
+            f"{slopes.heartbeat_rumour_bytes:.0f} B",
         ),
         ("a report fetched, both ends", f"{slopes.report_cpu:.0f} µs"),
         ("a token followed by the relay", f"{slopes.relay_token:.2f} µs"),
@@ -287,7 +306,7 @@
             format_sum(
                 "Control cost of one daemon: processor",
                 "% of a core",
-                CPU_BUDGET,
+                CPU_BUDGET_PERCENT,
                 list_cpu_lines(slopes),
             ),
             format_sum(
@@ -299,7 +318,7 @@
             format_sum(
                 "Control cost of one daemon: memory",
                 "MB",
-                MEMORY_BUDGET,
+                MEMORY_BUDGET_MB,
                 list_memory_lines(slopes),
             ),
             format_fits(slopes),
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -22,7 +22,7 @@
 import click
 from aiohttp import ClientError, ClientSession, ClientTimeout, TCPConnector
 
-from bench.cluster import Cluster, Shape, set_faults, wait_for_answer
+from bench.cluster import Cluster, ClusterSpec, set_faults, wait_for_answer
 from kestreltally.callers.identity import digest_key
 from standins.text import make_answer
 
@@ -33,10 +33,10 @@
 DAEMONS: Final = 6
 ENGINES: Final = 6
 SERVICES: Final = 2
-ONCE_SHARE: Final = 0.05
-SERVICE_SHARE: Final = 0.1
-GONE: Final = "no_answer"
-FREEZE_FOR: Final = 5.0
+UNREPEATABLE_FRACTION: Final = 0.05
+SERVICE_FRACTION: Final = 0.1
+NO_ANSWER: Final = "no_answer"
+FREEZE_DURATION: Final = 5.0
 
 
 @dataclass(frozen=True)
@@ -48,9 +48,9 @@
     reason: str
     took: float
     at: float
-    once: bool
+    unrepeatable: bool
     wrong: bool = False
-    cut: bool = False
+    is_cut: bool = False
 
 
 class Load:
@@ -65,12 +65,12 @@
         self._tasks: set[asyncio.Task[None]] = set()
         self.results: list[Result] = []
         self.ready: set[int] = set(range(DAEMONS))
-        self.hot = 0
-        self.going = True
+        self.most_popular = 0
+        self.running = True
 
     async def run(self) -> None:
         """Send at the rate until told to end."""
-        while self.going:
+        while self.running:
             task = asyncio.create_task(self._send_one())
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
@@ -95,15 +95,15 @@
 
     def _draw_adapter(self) -> str:
         number = int(self._random.expovariate(0.3)) % ADAPTERS
-        return f"a{(self.hot + number) % ADAPTERS}"
+        return f"a{(self.most_popular + number) % ADAPTERS}"
 
     async def _send_one(self) -> None:
         self._serial += 1
         if not self.ready:
             return
         number = self._random.choice(sorted(self.ready))
-        service = self._random.random() < SERVICE_SHARE
-        once = service or self._random.random() < ONCE_SHARE
+        service = self._random.random() < SERVICE_FRACTION
+        unrepeatable = service or self._random.random() < UNREPEATABLE_FRACTION
         request = f"c{self._serial}"
         adapter = self._draw_adapter()
         begin = time.monotonic()
@@ -112,7 +112,7 @@
             "X-Request-Id": request,
             "X-Deadline-Seconds": "15",
         }
-        if once:
+        if unrepeatable:
             headers["X-Not-Repeatable"] = "true"
         prompt = f"prompt {self._serial}"
         body: dict[str, Any] = {
@@ -124,7 +124,7 @@
         path = "/ledger/redeem" if service else "/v1/completions"
         url = self._cluster.callers_url(number) + path
         expected = None if service else make_answer(f"{adapter}@1", prompt, TOKENS)
-        outcome, reason, wrong, cut = await self._post(url, body, headers, expected)
+        outcome, reason, wrong, is_cut = await self._post(url, body, headers, expected)
         self.results.append(
             Result(
                 request=request,
@@ -132,9 +132,9 @@
                 reason=reason,
                 took=time.monotonic() - begin,
                 at=begin,
-                once=once,
+                unrepeatable=unrepeatable,
                 wrong=wrong,
-                cut=cut,
+                is_cut=is_cut,
             )
         )
 
@@ -151,7 +151,7 @@
                 text = await response.text()
                 status, kind = response.status, response.content_type
         except (ClientError, TimeoutError, OSError) as error:
-            return GONE, type(error).__name__, False, True
+            return NO_ANSWER, type(error).__name__, False, True
         if status != 200:
             error_body = json.loads(text)["error"]
             return error_body["outcome"], error_body["type"], False, False
@@ -168,7 +168,7 @@
             words = "".join(json.loads(e)["choices"][0]["text"] for e in events[:-1])
             return "done", "", words != expected, False
         last = json.loads(events[-1]) if events else {}
-        error = last.get("error", {"outcome": GONE, "type": "cut"})
+        error = last.get("error", {"outcome": NO_ANSWER, "type": "cut"})
         return error["outcome"], error["type"], False, "error" not in last
 
 
@@ -180,7 +180,7 @@
         self._http = http
         self._load = load
         self.cut_in_planned_stops = 0
-        self.take_overs: list[float] = []
+        self.takeover_times: list[float] = []
         self.statuses: list[int] = []
 
     async def run(self) -> None:
@@ -192,7 +192,7 @@
             self.hang_engine,
             self.stop_objects,
             self.slow_weights,
-            self.flip,
+            self.shift_popularity,
             self.replace_all,
             self.kill_two,
         ):
@@ -202,15 +202,15 @@
 
     async def kill_daemon(self, number: int = 1) -> None:
         """Kill a daemon; measure until its endpoints have another leader."""
-        led = await self._list_led(number)
+        led = await self._list_leading(number)
         self._cluster.kill(f"vm-{number}")
         begin = time.monotonic()
-        if led and await self._wait_led(led, without=number):
-            self.take_overs.append(time.monotonic() - begin)
+        if led and await self._wait_for_leaders(led, without=number):
+            self.takeover_times.append(time.monotonic() - begin)
         self._cluster.start_daemon(number)
         await asyncio.sleep(2.0)
 
-    async def _list_led(self, number: int) -> set[str]:
+    async def _list_leading(self, number: int) -> set[str]:
         url = f"{self._cluster.operators_url(number)}/state/leaders"
         try:
             async with self._http.get(url, timeout=ClientTimeout(total=1)) as answer:
@@ -219,10 +219,12 @@
             return set()
         return {row["endpoint"] for row in rows if row["acts"]}
 
-    async def _wait_led(self, endpoints: set[str], without: int) -> bool:
+    async def _wait_for_leaders(self, endpoints: set[str], without: int) -> bool:
         others = [number for number in range(DAEMONS) if number != without]
         for _ in range(300):
-            led = await asyncio.gather(*(self._list_led(number) for number in others))
+            led = await asyncio.gather(
+                *(self._list_leading(number) for number in others)
+            )
             if endpoints <= set().union(*led):
                 return True
             await asyncio.sleep(0.05)
@@ -231,7 +233,7 @@
     async def freeze_daemon(self, number: int = 2) -> None:
         """Stop a daemon past its lease, and let it go on."""
         self._cluster.signal(f"vm-{number}", signal.SIGSTOP)
-        await asyncio.sleep(FREEZE_FOR)
+        await asyncio.sleep(FREEZE_DURATION)
         self._cluster.signal(f"vm-{number}", signal.SIGCONT)
         await asyncio.sleep(2.0)
 
@@ -268,9 +270,9 @@
         await asyncio.sleep(3.0)
         await set_faults(self._http, url, down=False)
 
-    async def flip(self) -> None:
+    async def shift_popularity(self) -> None:
         """Make cold adapters hot."""
-        self._load.hot = ADAPTERS // 2
+        self._load.most_popular = ADAPTERS // 2
 
     async def replace_all(self) -> None:
         """Stop each daemon as planned and start an empty one in its place."""
@@ -278,7 +280,7 @@
             before = len(self._load.results)
             name = f"vm-{number}"
             self.statuses.append(await self._cluster.stop_planned(name))
-            cut = [r for r in self._load.results[before:] if r.cut]
+            cut = [r for r in self._load.results[before:] if r.is_cut]
             self.cut_in_planned_stops += len(cut)
             self._cluster.start_daemon(number)
             async with asyncio.timeout(15):
@@ -296,7 +298,7 @@
         await asyncio.sleep(2.0)
 
 
-async def set_up(cluster: Cluster, http: ClientSession) -> None:
+async def write_configuration(cluster: Cluster, http: ClientSession) -> None:
     """Write the configuration straight into the object API."""
 
     async def put(of_kind: str, name: str, /, **value: Any) -> None:
@@ -375,7 +377,9 @@
     outcomes = Counter(result.outcome for result in results)
     reasons = Counter(r.reason for r in results if r.outcome != "done")
     wrong = sum(result.wrong for result in results)
-    doubled = sum(r.once and counts.runs[f"chaos:{r.request}"] > 1 for r in results)
+    doubled = sum(
+        r.unrepeatable and counts.runs[f"chaos:{r.request}"] > 1 for r in results
+    )
     false_not_run = sum(
         r.outcome == "not_run" and counts.runs[f"chaos:{r.request}"] > 0
         for r in results
@@ -386,7 +390,7 @@
         f"availability {len(done) / len(results):.4f}; "
         f"seconds to a whole answer: median {statistics.median(done):.3f}, "
         f"p95 {statistics.quantiles(done, n=20)[-1]:.3f}; "
-        f"take-over seconds: {[round(each, 2) for each in chaos.take_overs]}"
+        f"take-over seconds: {[round(each, 2) for each in chaos.takeover_times]}"
     )
     click.echo(
         f"planned stops: exit statuses {chaos.statuses}, "
@@ -396,7 +400,7 @@
     click.echo(
         f"chaos: requests {len(results)}, done {outcomes['done']}, "
         f"not_run {outcomes['not_run']}, "
-        f"unknown {outcomes['unknown'] + outcomes[GONE]}, wrong {wrong}, "
+        f"unknown {outcomes['unknown'] + outcomes[NO_ANSWER]}, wrong {wrong}, "
         f"doubled {doubled}, false not_run {false_not_run}"
     )
     broken = wrong + doubled + false_not_run + counts.unloaded_in_use
@@ -406,14 +410,14 @@
 
 async def run_chaos(directory: Path, base_port: int, rate: float) -> bool:
     """Run the load and the faults; return whether every promise was kept."""
-    shape = Shape(
+    spec = ClusterSpec(
         directory=directory,
         base_port=base_port,
         daemons=DAEMONS,
         engines=ENGINES,
         services=SERVICES,
     )
-    cluster = Cluster(shape)
+    cluster = Cluster(spec)
     connector = TCPConnector(limit=0, force_close=True)
     try:
         await cluster.start()
@@ -421,14 +425,14 @@
             connector=connector,
             timeout=ClientTimeout(total=30),
         ) as http:
-            await set_up(cluster, http)
+            await write_configuration(cluster, http)
             await asyncio.sleep(4.0)
             load = Load(cluster, http, rate)
             sending = asyncio.create_task(load.run())
             watching = asyncio.create_task(load.watch_ready())
             chaos = Chaos(cluster, http, load)
             await chaos.run()
-            load.going = False
+            load.running = False
             await sending
             watching.cancel()
             counts = await fetch_counts(cluster, http)
@@ -445,8 +449,8 @@
 def main(base_port: int, rate: float, keep: Path | None) -> None:
     """Run true processes under load and faults."""
     with tempfile.TemporaryDirectory() as directory:
-        kept = asyncio.run(run_chaos(keep or Path(directory), base_port, rate))
-    sys.exit(0 if kept else 1)
+        passed = asyncio.run(run_chaos(keep or Path(directory), base_port, rate))
+    sys.exit(0 if passed else 1)
 
 
 if __name__ == "__main__":
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -16,16 +16,16 @@
 from aiohttp import ClientError, ClientSession, ClientTimeout
 
 HOST: Final = "127.0.0.1"
-START_WITHIN: Final = 15.0
-STOP_WITHIN: Final = 20.0
-POLL: Final = 0.05
+START_TIMEOUT: Final = 15.0
+STOP_TIMEOUT: Final = 20.0
+POLL_INTERVAL: Final = 0.05
 # How much of each log a failed demonstration shows, characters.
 LOG_TAIL: Final = 1200
 REPOSITORY: Final = Path(__file__).resolve().parent.parent
 
 
 @dataclass(frozen=True)
-class Shape:
+class ClusterSpec:
     """How many of what; ports count up from ``base_port``."""
 
     directory: Path
@@ -43,10 +43,10 @@
 class Cluster:
     """The processes that this one has started."""
 
-    def __init__(self, shape: Shape) -> None:
-        self.shape = shape
+    def __init__(self, spec: ClusterSpec) -> None:
+        self.spec = spec
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
-        shape.directory.mkdir(parents=True, exist_ok=True)
+        spec.directory.mkdir(parents=True, exist_ok=True)
 
     # Addresses
 
@@ -56,7 +56,7 @@
 
     def port(self, name: str) -> int:
         """Return the port of a stand-in."""
-        base = self.shape.base_port
+        base = self.spec.base_port
         fixed = {"objects": base, "vms": base + 1, "weights": base + 2}
         if name in fixed:
             return fixed[name]
@@ -66,7 +66,7 @@
 
     def daemon_ports(self, number: int) -> dict[str, int]:
         """Return the ports of the sides of one daemon."""
-        base = self.shape.base_port + 100 + 3 * number
+        base = self.spec.base_port + 100 + 3 * number
         return {"callers": base, "peers": base + 1, "operators": base + 2}
 
     def callers_url(self, number: int) -> str:
@@ -79,12 +79,12 @@
 
     def data_centre(self, number: int) -> str:
         """Return the data centre of the daemon or endpoint of a number."""
-        return f"dc-{number % self.shape.data_centres + 1}"
+        return f"dc-{number % self.spec.data_centres + 1}"
 
     # Starting
 
     def _spawn(self, name: str, command: list[str]) -> None:
-        log = (self.shape.directory / f"{name}.log").open("ab")
+        log = (self.spec.directory / f"{name}.log").open("ab")
         environment = {**os.environ, "PYTHONPATH": f"{REPOSITORY}/src:{REPOSITORY}"}
         self.processes[name] = subprocess.Popen(
             command,
@@ -112,7 +112,7 @@
                 "leaving": False,
                 "is_daemon": True,
             }
-            for number in range(self.shape.daemons)
+            for number in range(self.spec.daemons)
         ]
 
     def write_daemon_settings(self, number: int) -> Path:
@@ -127,9 +127,9 @@
                 "vm_list_period": 1.0,
             },
             **{side: {"host": HOST, "port": port} for side, port in ports.items()},
-            **self.shape.daemon_settings,
+            **self.spec.daemon_settings,
         }
-        path = self.shape.directory / f"vm-{number}.yaml"
+        path = self.spec.directory / f"vm-{number}.yaml"
         path.write_text(yaml.safe_dump(settings), encoding="utf-8")
         return path
 
@@ -141,28 +141,28 @@
 
     def write_operator_settings(self) -> Path:
         """Write the command line's settings; return their path."""
-        path = self.shape.directory / "kestreltally.yaml"
+        path = self.spec.directory / "kestreltally.yaml"
         plain = {
             "object_api": self.url("objects"),
-            "daemons": [self.operators_url(n) for n in range(self.shape.daemons)],
+            "daemons": [self.operators_url(n) for n in range(self.spec.daemons)],
         }
         path.write_text(yaml.safe_dump(plain), encoding="utf-8")
         return path
 
     def start_standins(self) -> None:
         """Start all stand-ins."""
-        shape = self.shape
-        self.start_standin("objects", "objects", shape.objects_options)
+        spec = self.spec
+        self.start_standin("objects", "objects", spec.objects_options)
         self.start_standin("vms", "vms", {"vms": self.list_vms(), "lag": 0.5})
-        self.start_standin("weights", "weights", shape.weights_options)
-        for number in range(shape.engines):
+        self.start_standin("weights", "weights", spec.weights_options)
+        for number in range(spec.engines):
             options = {
                 "seed": number,
                 "weights": self.url("weights"),
-                **shape.engine_options,
+                **spec.engine_options,
             }
             self.start_standin(f"engine-{number}", "engine", options)
-        for number in range(shape.services):
+        for number in range(spec.services):
             self.start_standin(f"service-{number}", "service", {"name": f"s{number}"})
 
     async def start(self) -> None:
@@ -170,11 +170,11 @@
         self.start_standins()
         async with ClientSession(timeout=ClientTimeout(total=1)) as http:
             await wait_for_answer(http, f"{self.url('objects')}/calls")
-            for number in range(self.shape.engines):
+            for number in range(self.spec.engines):
                 await wait_for_answer(http, f"{self.url(f'engine-{number}')}/counts")
-            for number in range(self.shape.daemons):
+            for number in range(self.spec.daemons):
                 self.start_daemon(number)
-            for number in range(self.shape.daemons):
+            for number in range(self.spec.daemons):
                 await wait_for_answer(http, f"{self.operators_url(number)}/live")
         self.write_operator_settings()
 
@@ -195,7 +195,7 @@
         process = self.processes.pop(name)
         process.send_signal(signal.SIGTERM)
         try:
-            return await asyncio.to_thread(process.wait, STOP_WITHIN)
+            return await asyncio.to_thread(process.wait, STOP_TIMEOUT)
         except subprocess.TimeoutExpired:
             process.kill()
             return process.wait()
@@ -217,7 +217,7 @@
 
 async def wait_for_answer(http: ClientSession, url: str, status: int = 200) -> None:
     """Wait until a URL answers; raises ``TimeoutError``."""
-    async with asyncio.timeout(START_WITHIN):
+    async with asyncio.timeout(START_TIMEOUT):
         while True:
             try:
                 async with http.get(url) as response:
@@ -225,7 +225,7 @@
                         return
             except (ClientError, TimeoutError):
                 pass
-            await asyncio.sleep(POLL)
+            await asyncio.sleep(POLL_INTERVAL)
 
 
 async def set_faults(http: ClientSession, url: str, **faults: Any) -> None:
@@ -234,10 +234,10 @@
         response.raise_for_status()
 
 
-def conclude_demo(directory: Path, *, right: bool) -> NoReturn:
+def conclude_demo(directory: Path, *, passed: bool) -> NoReturn:
     """Say whether all was right, with the ends of the logs if not, and exit."""
-    if not right:
+    if not passed:
         for log in sorted(directory.glob("*.log")):
             click.echo(f"--- {log.name}\n{log.read_text()[-LOG_TAIL:]}")
-    click.echo(f"demo: {'every answer was right' if right else 'something was WRONG'}")
-    sys.exit(0 if right else 1)
+    click.echo(f"demo: {'every answer was right' if passed else 'something was WRONG'}")
+    sys.exit(0 if passed else 1)
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -11,7 +11,13 @@
 import click
 from aiohttp import ClientSession, ClientTimeout
 
-from bench.cluster import REPOSITORY, Cluster, Shape, conclude_demo, wait_for_answer
+from bench.cluster import (
+    REPOSITORY,
+    Cluster,
+    ClusterSpec,
+    conclude_demo,
+    wait_for_answer,
+)
 from kestreltally.callers.identity import digest_key
 from standins.text import make_answer
 
@@ -26,22 +32,22 @@
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
-        self._wrong = 0
+        self._failures = 0
 
-    def check(self, holds: bool, what: str) -> None:
+    def check(self, passed: bool, description: str) -> None:
         """Print one check."""
-        self._wrong += not holds
-        click.echo(f"{'right' if holds else 'WRONG'}: {what}")
+        self._failures += not passed
+        click.echo(f"{'right' if passed else 'WRONG'}: {description}")
 
     @property
-    def all_right(self) -> bool:
+    def all_passed(self) -> bool:
         """Tell whether every check held."""
-        return self._wrong == 0
+        return self._failures == 0
 
     def operate(self, *arguments: str) -> None:
         """Run the operators' command line as a process of its own."""
         click.secho(f"$ kestreltally {' '.join(arguments)}", bold=True)
-        settings = self._cluster.shape.directory / "kestreltally.yaml"
+        settings = self._cluster.spec.directory / "kestreltally.yaml"
         command = [sys.executable, "-m", "kestreltally.cli.main", "--settings"]
         done = subprocess.run(
             [*command, str(settings), "--operator", "demo", *arguments],
@@ -55,7 +61,7 @@
 
     def create_objects(self) -> None:
         """Create everything by the command line."""
-        path = self._cluster.shape.directory / "demo.kt"
+        path = self._cluster.spec.directory / "demo.kt"
         path.write_text(write_statements(self._cluster), encoding="utf-8")
         self.operate("--wait", "5", "apply", "-f", str(path))
 
@@ -82,14 +88,14 @@
             body = {"model": adapter, "prompt": prompt, "max_tokens": TOKENS}
             status, answer = await self.send(
                 http,
-                number % self._cluster.shape.daemons,
+                number % self._cluster.spec.daemons,
                 "/v1/completions",
                 body,
                 X_Request_Id=f"demo-{adapter}",
             )
             expected = make_answer(f"{adapter}@1", prompt, TOKENS)
-            right = status == 200 and answer["choices"][0]["text"] == expected
-            self.check(right, f"{adapter}: whole answer of the right adapter")
+            passed = status == 200 and answer["choices"][0]["text"] == expected
+            self.check(passed, f"{adapter}: whole answer of the right adapter")
 
     async def send_streamed(self, http: ClientSession) -> None:
         """Stream one request."""
@@ -105,9 +111,9 @@
             json.loads(event[6:])["choices"][0]["delta"]["content"]
             for event in events[:-1]
         )
-        right = status == 200 and events[-1] == "data: [DONE]"
-        right = right and words == make_answer("balances@1", "hello", TOKENS)
-        self.check(right, "balances@1: streamed answer, whole, with its end mark")
+        passed = status == 200 and events[-1] == "data: [DONE]"
+        passed = passed and words == make_answer("balances@1", "hello", TOKENS)
+        self.check(passed, "balances@1: streamed answer, whole, with its end mark")
 
     async def redeem(self, http: ClientSession) -> None:
         """Send a not-repeatable request twice, to two daemons."""
@@ -127,14 +133,14 @@
         body = {"model": "secret", "prompt": "x"}
         status, answer = await self.send(http, 2, "/v1/completions", body)
         error = answer["error"]
-        right = status == 403 and error["outcome"] == "not_run"
-        self.check(right, f"a forbidden adapter is refused: {error['message']}")
+        passed = status == 403 and error["outcome"] == "not_run"
+        self.check(passed, f"a forbidden adapter is refused: {error['message']}")
 
     async def run(self) -> None:
         """Run the demonstration on a cluster that is up."""
         self.create_objects()
         async with ClientSession(timeout=ClientTimeout(total=20)) as http:
-            for number in range(self._cluster.shape.daemons):
+            for number in range(self._cluster.spec.daemons):
                 url = f"{self._cluster.operators_url(number)}/ready"
                 await wait_for_answer(http, url)
             await self.send_ordinary(http)
@@ -151,13 +157,13 @@
 def write_statements(cluster: Cluster) -> str:
     """Return the statements that set a cluster up."""
     lines = [f"create model {MODEL};"]
-    for number in range(cluster.shape.engines):
+    for number in range(cluster.spec.engines):
         lines.append(
             f"create endpoint engine-{number} with kind = engine, model = {MODEL}, "
             f"url = {cluster.url(f'engine-{number}')}, slots = 4, batch_limit = 8, "
             f"data_centre = {cluster.data_centre(number)};"
         )
-    for number in range(cluster.shape.services):
+    for number in range(cluster.spec.services):
         lines.append(
             f"create endpoint ledger-{number} with kind = service, prefix = /ledger, "
             f"url = {cluster.url(f'service-{number}')}, batch_limit = 64, "
@@ -174,7 +180,7 @@
 
 
 async def _demonstrate(directory: Path, base_port: int) -> bool:
-    cluster = Cluster(Shape(directory=directory, base_port=base_port))
+    cluster = Cluster(ClusterSpec(directory=directory, base_port=base_port))
     try:
         await cluster.start()
         demo = Demo(cluster)
@@ -184,7 +190,7 @@
             set(statuses.values()) == {0},
             f"all daemons stopped as planned: {statuses}",
         )
-        return demo.all_right
+        return demo.all_passed
     finally:
         cluster.kill_all()
 
@@ -195,10 +201,10 @@
     """Show the whole path once."""
     with tempfile.TemporaryDirectory() as directory:
         try:
-            right = asyncio.run(_demonstrate(Path(directory), base_port))
+            passed = asyncio.run(_demonstrate(Path(directory), base_port))
         except TimeoutError:
-            right = False
-        conclude_demo(Path(directory), right=right)
+            passed = False
+        conclude_demo(Path(directory), passed=passed)
 
 
 if __name__ == "__main__":
--- a/bench/faultsoak/witness.py
+++ b/bench/faultsoak/checker.py
@@ -12,7 +12,7 @@
 
 from bench.faultsoak.organisations import (
     LIMITED,
-    MOST_IN_A_WINDOW,
+    MAX_PER_WINDOW,
     QUOTA_WINDOW,
     REVOCATION,
     STEADY,
@@ -23,28 +23,28 @@
 
 OK: Final = 200
 # A request may end so many engines, and so many more once all can know.
-ENDS_ALLOWED: Final = 3
+MAX_ENGINE_CRASHES: Final = 3
 # What a refusal says of a request that ends engines.
-STOPPED: Final = "ended under it"
+STOPPED_TEXT: Final = "ended under it"
 PROMISES_NOT_RUN: Final = frozenset({408, 421, 429, 503})
 TIMEOUT: Final = 8.0
-LEASE_APART: Final = BOUNDS["LeaseMs"] / 1000
-DRAIN: Final = BOUNDS["DrainMs"] / 1000
-CONFIGURATION: Final = BOUNDS["ConfigurationMs"] / 1000
+MIN_LEASE_GAP: Final = BOUNDS["LeaseMs"] / 1000
+DRAIN_TIME: Final = BOUNDS["DrainMs"] / 1000
+CONFIGURATION_BOUND: Final = BOUNDS["ConfigurationMs"] / 1000
 # Bounds hold after so much time without disturbance, before and throughout.
-CALM: Final = 3.0
+UNDISTURBED_TIME: Final = 3.0
 # A limit that an endpoint names bounds the calls of all daemons in any such window.
 LIMIT_WINDOW: Final = 4.0
 LIMIT_FACTOR: Final = 1.5
-LIMIT_MORE: Final = 5
+LIMIT_ALLOWANCE: Final = 5
 # What the machine under the soak may be late by.
 SLACK: Final = 0.5
 # Orders of a daemon just let go on, or over a path just healed, do not count.
-THAW: Final = 0.6
+RESUME_GRACE: Final = 0.6
 
 
 @dataclass
-class Ask:
+class RequestRecord:
     """One request and what came of it; ``status`` 0 means no answer."""
 
     id: str
@@ -61,93 +61,99 @@
 
 
 @dataclass
-class Witness:
+class Checker:
     """Sends requests, keeps what came of them, and says what was broken."""
 
     system: SoakSystem
-    asks: list[Ask] = field(default_factory=list)
+    records: list[RequestRecord] = field(default_factory=list)
     problems: list[str] = field(default_factory=list)
     # When something disturbed the system: its beginning and end.
-    disturbed: list[tuple[float, float]] = field(default_factory=list)
+    disturbances: list[tuple[float, float]] = field(default_factory=list)
     stops: list[tuple[Daemon, float, float]] = field(default_factory=list)
     healed: list[float] = field(default_factory=list)
-    deadly: int = 0
+    poison_count: int = 0
     # The newest configuration that each process was seen to act upon.
-    seen: dict[tuple[str, int], int] = field(default_factory=dict)
+    seen_versions: dict[tuple[str, int], int] = field(default_factory=dict)
 
-    def is_calm(self, begin: float, end: float) -> bool:
+    def is_undisturbed(self, begin: float, end: float) -> bool:
         """Tell whether nothing disturbed the system around a span."""
-        return not any(b < end and e > begin - CALM for b, e in self.disturbed)
+        return not any(
+            b < end and e > begin - UNDISTURBED_TIME for b, e in self.disturbances
+        )
 
-    async def ask(
+    async def send(
         self,
         http: ClientSession,
         daemon: Daemon,
         path: str,
         adapter: str = "",
         key: str = "",
-    ) -> Ask:
+    ) -> RequestRecord:
         """Send one request, and check what its answer says."""
         clock = asyncio.get_running_loop().time
-        name = f"s{len(self.asks)}"
+        name = f"s{len(self.records)}"
         key = key or self.system.keys.current[STEADY]
-        ask = Ask(name, daemon, daemon.boots, f"{path}{name}", adapter, key, clock())
-        self.asks.append(ask)
+        record = RequestRecord(
+            name, daemon, daemon.boots, f"{path}{name}", adapter, key, clock()
+        )
+        self.records.append(record)
         headers = {"Host": HOST_NAME, "X-Request-Id": name, "X-Credential": key}
         if adapter:
             headers["X-Model-Name"] = f"{MODEL}/{adapter}"
         try:
             async with http.post(
-                f"{daemon.url}{ask.path}",
+                f"{daemon.url}{record.path}",
                 headers=headers,
                 data=b"x",
                 timeout=ClientTimeout(total=TIMEOUT),
             ) as answer:
-                ask.status = answer.status
+                record.status = answer.status
                 text = await answer.text()
-                ask.whole = True
-                ask.reason = text if answer.status != OK else ""
+                record.whole = True
+                record.reason = text if answer.status != OK else ""
         except ClientPayloadError:
-            ask.whole = False
+            record.whole = False
         except (TimeoutError, ClientError, OSError):
-            ask.status = 0
-        ask.ended = clock()
-        if ask.status == 200 and ask.whole:
-            self._check_answer(ask, answer.headers.get("X-Request-Id"), text)
-        return ask
+            record.status = 0
+        record.ended = clock()
+        if record.status == 200 and record.whole:
+            self._check_answer(record, answer.headers.get("X-Request-Id"), text)
+        return record
 
-    def _check_answer(self, ask: Ask, answered: str | None, text: str) -> None:
-        if answered != ask.id:
-            self.problems.append(f"{ask.id} got the answer of {answered}")
-        if not ask.adapter:
-            if text != f"POST {ask.path} 1":
-                self.problems.append(f"{ask.id} got {text!r} for {ask.path}")
+    def _check_answer(
+        self, record: RequestRecord, answered: str | None, text: str
+    ) -> None:
+        if answered != record.id:
+            self.problems.append(f"{record.id} got the answer of {answered}")
+        if not record.adapter:
+            if text != f"POST {record.path} 1":
+                self.problems.append(f"{record.id} got {text!r} for {record.path}")
             return
         events = read_events(text)
         if [each["number"] for each in events] != list(range(1, EVENTS + 1)):
-            self.problems.append(f"{ask.id}: events {text!r}")
+            self.problems.append(f"{record.id}: events {text!r}")
         ran = {each["ran"].partition("@")[0] for each in events}
-        if ran != {ask.adapter}:
-            self.problems.append(f"{ask.id} for {ask.adapter} was run by {ran}")
+        if ran != {record.adapter}:
+            self.problems.append(f"{record.id} for {record.adapter} was run by {ran}")
 
     async def probe_configuration(self, http: ClientSession, daemon: Daemon) -> None:
         """Ask on the newest configuration's own route, and judge the answer."""
         version, since = self.system.version, self.system.configured_at
-        ask = await self.ask(http, daemon, f"/v{version}/")
-        boot = (daemon.vm, ask.boot)
-        if ask.status == 404 and self.system.version == version:
-            late = ask.began > since + CONFIGURATION + SLACK
-            if self.seen.get(boot, 0) >= version:
+        record = await self.send(http, daemon, f"/v{version}/")
+        boot = (daemon.vm, record.boot)
+        if record.status == 404 and self.system.version == version:
+            late = record.began > since + CONFIGURATION_BOUND + SLACK
+            if self.seen_versions.get(boot, 0) >= version:
                 self.problems.append(f"{daemon.vm} went back from version {version}")
-            elif late and self.is_calm(since, ask.ended):
+            elif late and self.is_undisturbed(since, record.ended):
                 self.problems.append(f"{daemon.vm} lacks version {version}")
-        elif ask.status == 200:
-            self.seen[boot] = max(version, self.seen.get(boot, 0))
+        elif record.status == 200:
+            self.seen_versions[boot] = max(version, self.seen_versions.get(boot, 0))
 
-    def check_end(self) -> None:
+    def check_final(self) -> None:
         """Judge what only the whole soak can tell."""
-        endpoints = self.system.every_endpoint
-        self.problems.extend(self.system.odd_ends)
+        endpoints = self.system.all_endpoints
+        self.problems.extend(self.system.unexpected_exits)
         self._check_runs(endpoints)
         self._check_keys(endpoints)
         self._check_quota(endpoints)
@@ -157,13 +163,13 @@
         self._check_stops()
         self._check_poison(endpoints)
 
-    async def ask_deadly(self, http: ClientSession, daemon: Daemon, body: str) -> None:
+    async def send_poison(self, http: ClientSession, daemon: Daemon, body: str) -> None:
         """Send a request that ends the engine that begins to run it."""
         key = self.system.keys.current[STEADY]
-        self.deadly += 1
+        self.poison_count += 1
         headers = {
             "Host": HOST_NAME,
-            "X-Request-Id": f"d{self.deadly}",
+            "X-Request-Id": f"d{self.poison_count}",
             "X-Credential": key,
             "X-Model-Name": f"{MODEL}/a1",
         }
@@ -180,66 +186,74 @@
         """Check that what ends engines is stopped, and nothing else."""
         runs: dict[str, list[float]] = {}
         for endpoint in endpoints:
-            for body, times in endpoint.engine.deadly_runs.items():
+            for body, times in endpoint.engine.poison_runs.items():
                 runs.setdefault(body, []).extend(times)
         for body, times in runs.items():
             times.sort()
-            third = times[ENDS_ALLOWED - 1 : ENDS_ALLOWED]
-            late = [at for at in times if third and at > third[0] + CALM]
-            counted = [at for at in late if self.is_calm(at, at)]
-            if len(counted) > ENDS_ALLOWED:
+            third = times[MAX_ENGINE_CRASHES - 1 : MAX_ENGINE_CRASHES]
+            late = [at for at in times if third and at > third[0] + UNDISTURBED_TIME]
+            counted = [at for at in late if self.is_undisturbed(at, at)]
+            if len(counted) > MAX_ENGINE_CRASHES:
                 self.problems.append(f"{body} ended {len(times)}, {len(late)} late")
-        for ask in self.asks:
-            if STOPPED in ask.reason:
-                self.problems.append(f"{ask.id} was stopped: {ask.reason}")
+        for record in self.records:
+            if STOPPED_TEXT in record.reason:
+                self.problems.append(f"{record.id} was stopped: {record.reason}")
 
     def _check_runs(self, endpoints: list[SoakEndpoint]) -> None:
         runs: Counter[str] = Counter()
         for endpoint in endpoints:
             runs.update(endpoint.engine.runs)
-        for ask in self.asks:
-            if ask.status in PROMISES_NOT_RUN and runs[ask.id]:
-                self.problems.append(f"{ask.id}: {ask.status}, but it ran")
-            if not ask.adapter and runs[ask.id] > 1:
-                self.problems.append(f"{ask.id} ran {runs[ask.id]} times")
+        for record in self.records:
+            if record.status in PROMISES_NOT_RUN and runs[record.id]:
+                self.problems.append(f"{record.id}: {record.status}, but it ran")
+            if not record.adapter and runs[record.id] > 1:
+                self.problems.append(f"{record.id} ran {runs[record.id]} times")
 
-    def is_owed(self, ask: Ask) -> bool:
+    def must_be_served(self, record: RequestRecord) -> bool:
         """Tell whether a request is to be served: with a key, and within its quota."""
         keys = self.system.keys
-        limited = keys.holders[ask.key] == LIMITED
-        probes = ask.path.startswith("/v")
-        return not probes and not limited and ask.key not in keys.taken_at
+        limited = keys.holders[record.key] == LIMITED
+        probes = record.path.startswith("/v")
+        return not probes and not limited and record.key not in keys.revoked_at
 
     def _check_keys(self, endpoints: list[SoakEndpoint]) -> None:
         """Check whose requests ran, and that none did past its key's bound."""
         keys = self.system.keys
-        for ask in self.asks:
-            holder = keys.holders[ask.key]
-            taken_at = keys.taken_at.get(ask.key, float("inf"))
+        for record in self.records:
+            holder = keys.holders[record.key]
+            revoked_at = keys.revoked_at.get(record.key, float("inf"))
             for endpoint in endpoints:
                 engine = endpoint.engine
-                if ask.id not in engine.runs:
+                if record.id not in engine.runs:
                     continue
-                if engine.organisations[ask.id] != [holder]:
-                    named = engine.organisations[ask.id]
-                    self.problems.append(f"{ask.id} of {holder} ran for {named}")
-                if ask.began > taken_at + REVOCATION:
-                    late = ask.began - taken_at
-                    self.problems.append(f"{ask.id} ran {late:.2f} s without its key")
-            good = ask.key not in keys.taken_at
-            if good and ask.status == 401 and ask.began > self._find_known(ask.key):
-                self.problems.append(f"{ask.id}: 401 for a good key")
+                if engine.organisations[record.id] != [holder]:
+                    named = engine.organisations[record.id]
+                    self.problems.append(f"{record.id} of {holder} ran for {named}")
+                if record.began > revoked_at + REVOCATION:
+                    late = record.began - revoked_at
+                    self.problems.append(
+                        f"{record.id} ran {late:.2f} s without its key"
+                    )
+            good = record.key not in keys.revoked_at
+            if (
+                good
+                and record.status == 401
+                and record.began > self._compute_known_at(record.key)
+            ):
+                self.problems.append(f"{record.id}: 401 for a good key")
         for endpoint in endpoints:
-            for name in endpoint.engine.keyed:
+            for name in endpoint.engine.requests_with_key:
                 self.problems.append(f"{name} was handed on with its key")
 
-    def _find_known(self, key: str) -> float:
+    def _compute_known_at(self, key: str) -> float:
         """Return from when a key that was given is known to all in touch."""
-        return self.system.keys.given_at.get(key, 0.0) + CONFIGURATION + SLACK
+        return self.system.keys.issued_at.get(key, 0.0) + CONFIGURATION_BOUND + SLACK
 
     def _check_quota(self, endpoints: list[SoakEndpoint]) -> None:
         holders = self.system.keys.holders
-        limited = {ask.id for ask in self.asks if holders[ask.key] == LIMITED}
+        limited = {
+            record.id for record in self.records if holders[record.key] == LIMITED
+        }
         ran = sorted(
             at
             for endpoint in endpoints
@@ -248,46 +262,48 @@
         )
         for number, at in enumerate(ran):
             in_window = number + 1 - bisect_left(ran, at - QUOTA_WINDOW)
-            if in_window > MOST_IN_A_WINDOW:
+            if in_window > MAX_PER_WINDOW:
                 self.problems.append(f"{in_window} ran of a quota of {LIMITED}")
                 return
 
     def _check_orders(self, endpoint: SoakEndpoint) -> None:
         engine = endpoint.engine
-        if engine.falls:
+        if engine.overload_restarts:
             self.problems.append(f"{engine.id} was ordered beyond its places")
         orders = list(zip(engine.order_times, engine.holders, strict=True))
         for (at, (holder, fence)), (later, (next_holder, next_fence)) in pairwise(
             orders
         ):
-            if any(0 <= later - healed < THAW for healed in self.healed):
+            if any(0 <= later - healed < RESUME_GRACE for healed in self.healed):
                 continue
             if next_fence < fence:
                 self.problems.append(f"{engine.id}: number {next_fence} after {fence}")
             if next_holder != holder and next_fence == fence:
                 self.problems.append(f"{engine.id}: number {fence} of two holders")
-            if next_holder != holder and later - at < LEASE_APART:
+            if next_holder != holder and later - at < MIN_LEASE_GAP:
                 self.problems.append(
                     f"{engine.id}: {next_holder} {later - at:.2f} s after {holder}"
                 )
 
     def _check_leaving(self, endpoint: SoakEndpoint) -> None:
         if endpoint.leaving_at is not None:
-            last = endpoint.leaving_at + DRAIN + SLACK
+            last = endpoint.leaving_at + DRAIN_TIME + SLACK
             for name, at in endpoint.engine.run_times.items():
-                if at > last and self.is_calm(endpoint.leaving_at, at):
+                if at > last and self.is_undisturbed(endpoint.leaving_at, at):
                     self.problems.append(f"{name} ran at a leaving endpoint")
 
-        if endpoint.said_at is None:
+        if endpoint.announced_at is None:
             return
         # Daemons learn of it from the first answer, theirs or another's.
-        answered = [at for at in endpoint.engine.arrivals if at >= endpoint.said_at]
-        last = min(answered, default=0.0) + DRAIN + SLACK
+        answered = [
+            at for at in endpoint.engine.arrivals if at >= endpoint.announced_at
+        ]
+        last = min(answered, default=0.0) + DRAIN_TIME + SLACK
         for at in answered:
-            if at > last and self.is_calm(endpoint.said_at, at):
+            if at > last and self.is_undisturbed(endpoint.announced_at, at):
                 self.problems.append(f"{endpoint.engine.id}: asked though it leaves")
 
-    def check_rest(self, endpoint: SoakEndpoint, began: float, booted: int) -> None:
+    def check_backoff(self, endpoint: SoakEndpoint, began: float, booted: int) -> None:
         """Check that an endpoint that asked for rest got it.
 
         Each process learns of it by a request of its own, or two sent at once.
@@ -306,12 +322,14 @@
 
         Only where all were in touch throughout, and had heard of it before.
         """
-        calls = [at for at in endpoint.engine.calls if began + CALM < at < ended]
+        calls = [
+            at for at in endpoint.engine.calls if began + UNDISTURBED_TIME < at < ended
+        ]
         for number, at in enumerate(calls):
-            since = max(at - LIMIT_WINDOW, began + CALM)
+            since = max(at - LIMIT_WINDOW, began + UNDISTURBED_TIME)
             in_window = number + 1 - bisect_left(calls, since)
-            allowed = LIMIT_FACTOR * limit * LIMIT_WINDOW + LIMIT_MORE
-            if in_window > allowed and self.is_calm(since, at):
+            allowed = LIMIT_FACTOR * limit * LIMIT_WINDOW + LIMIT_ALLOWANCE
+            if in_window > allowed and self.is_undisturbed(since, at):
                 self.problems.append(
                     f"{endpoint.engine.id}: called {in_window} times of {allowed:.0f}"
                 )
@@ -319,17 +337,17 @@
 
     def _check_stops(self) -> None:
         for daemon, began, ended in self.stops:
-            others = [span for span in self.disturbed if span != (began, ended)]
-            if any(b < ended and e > began - CALM for b, e in others):
+            others = [span for span in self.disturbances if span != (began, ended)]
+            if any(b < ended and e > began - UNDISTURBED_TIME for b, e in others):
                 continue
             cut = [
-                ask.id
-                for ask in self.asks
-                if ask.daemon is daemon
-                and ask.status != 404
-                and not ask.whole
-                and ask.began < began
-                and ask.ended > began
+                record.id
+                for record in self.records
+                if record.daemon is daemon
+                and record.status != 404
+                and not record.whole
+                and record.began < began
+                and record.ended > began
             ]
             if cut:
                 self.problems.append(f"{daemon.vm} cut {cut} in its planned stop")
--- a/bench/faultsoak/mutations.py
+++ b/bench/faultsoak/mutations.py
@@ -30,7 +30,7 @@
     """A mechanism taken away: the text that stands for it, and what replaces it.
 
     ``action`` is the trouble that must show it, done each ``every`` seconds to one
-    target after the other, ``lasts`` seconds long. A key is taken away
+    target after the other, ``duration`` seconds long. A key is taken away
     ``revoke_after`` seconds after each beginning, where that is given.
     """
 
@@ -41,7 +41,7 @@
     action: Action
     mode: ProxyMode = ProxyMode.RESET
     every: float = 0.7
-    lasts: float = 0.4
+    duration: float = 0.4
     revoke_after: float | None = None
 
     def make_plan(self) -> list[Step]:
@@ -49,7 +49,7 @@
         count = int(SECONDS / self.every)
         begins = [1.0 + number * self.every for number in range(count)]
         steps = [
-            Step(at, self.lasts, self.action, number, self.mode)
+            Step(at, self.duration, self.action, number, self.mode)
             for number, at in enumerate(begins)
         ]
         if self.revoke_after is not None:
@@ -104,7 +104,7 @@
         action=Action.STORE_PATH,
         mode=ProxyMode.SILENT,
         every=8.0,
-        lasts=7.0,
+        duration=7.0,
     ),
     Mutation(
         name="numbers that do not rise",
@@ -114,7 +114,7 @@
         action=Action.STORE_PATH,
         mode=ProxyMode.SILENT,
         every=8.0,
-        lasts=7.0,
+        duration=7.0,
     ),
     Mutation(
         name="leaving endpoints used on",
@@ -129,17 +129,17 @@
         module="fleet/notices.py",
         before="        row.leaves = True\n        log_decision",
         after="        log_decision",
-        action=Action.SAYS_LEAVING,
+        action=Action.LEAVING_NOTICE,
         every=6.0,
     ),
     Mutation(
-        name="rest that an endpoint asks for not given",
+        name="rest that an endpoint records for not given",
         module="fleet/notices.py",
         before="        row.start_recovery(now + rest)\n",
         after="",
-        action=Action.WANTS_REST,
+        action=Action.BACKOFF_NOTICE,
         every=6.0,
-        lasts=4.0,
+        duration=4.0,
     ),
     Mutation(
         name="a limit that each daemon keeps alone",
@@ -148,9 +148,9 @@
         "self.rate:\n            return 0.0\n"
         "        return ISOLATED_FRACTION * self.rate / max(1, daemons)\n",
         after="        return self.rate\n",
-        action=Action.NAMES_LIMIT,
+        action=Action.RATE_LIMIT_NOTICE,
         every=8.5,
-        lasts=8.0,
+        duration=8.0,
     ),
     Mutation(
         name="places not counted",
@@ -174,7 +174,7 @@
         after="True",
         action=Action.PAUSE,
         every=9.0,
-        lasts=7.0,
+        duration=7.0,
         revoke_after=0.3,
     ),
     Mutation(
@@ -192,7 +192,7 @@
         after="        if False:\n",
         action=Action.POISON,
         every=16.0,
-        lasts=16.0,
+        duration=16.0,
     ),
     Mutation(
         name="a request that ends engines not stopped",
@@ -201,7 +201,7 @@
         after="settled=True) if False else None\n",
         action=Action.POISON,
         every=16.0,
-        lasts=16.0,
+        duration=16.0,
     ),
     Mutation(
         name="a client's key handed on",
@@ -219,8 +219,8 @@
         directory = Path(name)
         source = mutation.write_source(directory)
         system = SoakSystem(directory, base_port, source)
-        witness = await run_plan(system, mutation.make_plan(), DAEMONS)
-    return witness.problems[0] if witness.problems else ""
+        checker = await run_plan(system, mutation.make_plan(), DAEMONS)
+    return checker.problems[0] if checker.problems else ""
 
 
 @click.command()
--- a/bench/faultsoak/organisations.py
+++ b/bench/faultsoak/organisations.py
@@ -19,7 +19,7 @@
 QUOTA_WINDOW: Final = 8.0
 QUOTA_OVERAGE: Final = 0.1
 QUOTA_SLACK: Final = 8.0
-MOST_IN_A_WINDOW: Final = (QUOTA_RATE * QUOTA_WINDOW + QUOTA_BURST) * (
+MAX_PER_WINDOW: Final = (QUOTA_RATE * QUOTA_WINDOW + QUOTA_BURST) * (
     1 + QUOTA_OVERAGE
 ) + QUOTA_SLACK
 
@@ -39,16 +39,16 @@
 
     holders: dict[str, str] = field(default_factory=dict)
     current: dict[str, str] = field(default_factory=dict)
-    taken_at: dict[str, float] = field(default_factory=dict)
-    given_at: dict[str, float] = field(default_factory=dict)
+    revoked_at: dict[str, float] = field(default_factory=dict)
+    issued_at: dict[str, float] = field(default_factory=dict)
     _numbers: Iterator[int] = field(default_factory=count)
 
     def __post_init__(self) -> None:
         """Give each organisation its first key."""
         for name in (STEADY, CHANGING, LIMITED):
-            self.give(name)
+            self.issue(name)
 
-    def give(self, name: str) -> str:
+    def issue(self, name: str) -> str:
         """Give an organisation a new key; return the one that it had, if any."""
         before = self.current.get(name, "")
         key = f"key-of-{name}-{next(self._numbers)}"
--- a/bench/faultsoak/proxy.py
+++ b/bench/faultsoak/proxy.py
@@ -43,8 +43,8 @@
     def set_mode(self, mode: ProxyMode) -> None:
         """Change what becomes of the bytes from now on."""
         before, self.mode = self.mode, mode
-        swallowed = before not in (ProxyMode.PASS, ProxyMode.DELAY)
-        if mode is ProxyMode.RESET or swallowed:
+        dropped_bytes = before not in (ProxyMode.PASS, ProxyMode.DELAY)
+        if mode is ProxyMode.RESET or dropped_bytes:
             # What was swallowed cannot be made good: the connection has to end.
             for writer in self._writers:
                 writer.transport.abort()
@@ -62,7 +62,7 @@
         self._writers.add(writer)
         try:
             if self.mode is not ProxyMode.RESET:
-                await self._cross(reader, writer)
+                await self._forward(reader, writer)
         except OSError:
             # The target does not listen: the caller sees a reset, as without a proxy.
             pass
@@ -70,13 +70,13 @@
             self._writers.discard(writer)
             writer.transport.abort()
 
-    async def _cross(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        far_reader, far_writer = await asyncio.open_connection(HOST, self.target)
-        self._writers.add(far_writer)
-        to_target = self._pump(reader, far_writer, ProxyMode.CUT_TO_TARGET)
-        from_target = self._pump(far_reader, writer, ProxyMode.CUT_FROM_TARGET)
+        target_reader, target_writer = await asyncio.open_connection(HOST, self.target)
+        self._writers.add(target_writer)
+        to_target = self._pump(reader, target_writer, ProxyMode.CUT_TO_TARGET)
+        from_target = self._pump(target_reader, writer, ProxyMode.CUT_FROM_TARGET)
         tasks = [asyncio.create_task(each) for each in (to_target, from_target)]
         try:
             # When one side has ended, what the other still says is passed on.
@@ -84,8 +84,8 @@
         finally:
             for task in tasks:
                 task.cancel()
-            self._writers.discard(far_writer)
-            far_writer.transport.abort()
+            self._writers.discard(target_writer)
+            target_writer.transport.abort()
 
     async def _pump(
         self,
--- a/bench/faultsoak/run.py
+++ b/bench/faultsoak/run.py
@@ -17,45 +17,45 @@
 from aiohttp import ClientSession
 
 from bench.cluster import wait_for_answer
+from bench.faultsoak.checker import Checker
 from bench.faultsoak.organisations import CHANGING
 from bench.faultsoak.plan import Action, Step, make_plan
 from bench.faultsoak.proxy import HOST, Proxy, ProxyMode
 from bench.faultsoak.system import Daemon, SoakEndpoint, SoakSystem
-from bench.faultsoak.witness import Witness
 from kestreltally.objectapi.http import open_session
-from standins.platform_engine import DEADLY, HEARTBEAT
+from standins.platform_engine import HEARTBEAT, POISON_PREFIX
 
 # Requests a second by each daemon's client, and how many adapters they name: more than
 # there are places, so that orders are given all the time.
 RATE: Final = 8.0
 ADAPTERS: Final = 30
 # The part of requests for models, and the exponent of how often adapters are named.
-MODEL_SHARE: Final = 0.6
+MODEL_FRACTION: Final = 0.6
 ADAPTER_TAIL: Final = 0.8
 # The parts of requests by organisation, in the order in which they got their keys, and
 # how often one uses the key that was taken away last.
-ORGANISATION_PARTS: Final = (0.5, 0.25, 0.25)
-TAKEN_PART: Final = 0.4
-PROBE_EVERY: Final = 0.5
-READY_WITHIN: Final = 15.0
+ORGANISATION_FRACTIONS: Final = (0.5, 0.25, 0.25)
+REVOKED_KEY_FRACTION: Final = 0.4
+PROBE_INTERVAL: Final = 0.5
+READY_TIMEOUT: Final = 15.0
 # Until leaders are chosen and engines listed, seconds.
-SETTLE: Final = 1.0
+SETTLE_TIME: Final = 1.0
 # After the last disturbance all must be served again, seconds and part of requests.
-RECOVERY: Final = 12.0
-RECOVERY_PART: Final = 0.9
-MEASURE_FOR: Final = 3.0
-LEAVES_FOR: Final = 4.0
+RECOVERY_TIME: Final = 12.0
+MIN_RECOVERED_FRACTION: Final = 0.9
+MEASURE_DURATION: Final = 3.0
+LEAVING_DURATION: Final = 4.0
 # Two of the stand-ins' heartbeats: until the store knows what an entry says.
-ENTRY_WRITTEN: Final = 2 * HEARTBEAT
+ENTRY_WRITE_TIME: Final = 2 * HEARTBEAT
 # How slow a slow store is, seconds, and which part of its answers it loses.
-STORE_SLOW: Final = 0.2
-STORE_LOSES: Final = 0.3
-DRAWS_TO_SHRINK: Final = 12
+STORE_DELAY: Final = 0.2
+STORE_LOSS_FRACTION: Final = 0.3
+MAX_SHRINK_RUNS: Final = 12
 # How soon a request that ends engines comes again, seconds.
-DEADLY_AGAIN: Final = (0.2, 1.0)
-DEADLY_TEXT: Final = DEADLY.decode()
+POISON_REPEAT_INTERVALS: Final = (0.2, 1.0)
+POISON_TEXT: Final = POISON_PREFIX.decode()
 
-RunPlan = Callable[[list[Step]], Coroutine[Any, Any, Witness]]
+RunPlan = Callable[[list[Step]], Coroutine[Any, Any, Checker]]
 # What is planned, and excuses nothing.
 HARMLESS: Final = frozenset(
     {
@@ -65,20 +65,20 @@
         Action.VERSION,
         Action.REVOKE,
         Action.POISON,
-        Action.SAYS_LEAVING,
-        Action.WANTS_REST,
-        Action.NAMES_LIMIT,
+        Action.LEAVING_NOTICE,
+        Action.BACKOFF_NOTICE,
+        Action.RATE_LIMIT_NOTICE,
     }
 )
 # How long the store is away before it comes back from a copy, and until the operators
 # have written again what they wrote since, seconds.
-RETURN_AWAY: Final = 0.4
-REWRITTEN_AFTER: Final = 1.0
+RESTORE_DOWNTIME: Final = 0.4
+REWRITE_DELAY: Final = 1.0
 
 # The limits that endpoints name, requests a second, and how they change.
 LIMITS: Final = (0.5, 2.9, 8.0)
-LIMIT_CHANGES: Final = (0.8, 1.0)
-LIMIT_CHANGES_EVERY: Final = 0.5
+LIMIT_JITTER: Final = (0.8, 1.0)
+LIMIT_CHANGE_INTERVAL: Final = 0.5
 
 Perform = Callable[["Soak", Step], Awaitable[None]]
 PERFORMERS: Final[dict[Action, Perform]] = {}
@@ -99,7 +99,7 @@
     """One soak under way."""
 
     system: SoakSystem
-    witness: Witness
+    checker: Checker
 
     def pick_daemon(self, step: Step) -> Daemon:
         """Return the daemon that a step is about."""
@@ -124,17 +124,17 @@
         began = clock()
         # Until it is over it disturbs without an end in sight.
         span = (began, float("inf"))
-        self.witness.disturbed.append(span)
+        self.checker.disturbances.append(span)
         await PERFORMERS[step.action](self, step)
-        self.witness.disturbed.remove(span)
+        self.checker.disturbances.remove(span)
         ended = clock()
-        self.witness.disturbed.append((began, ended))
+        self.checker.disturbances.append((began, ended))
         if step.action is Action.PLANNED_STOP:
-            self.witness.stops.append((self.pick_daemon(step), began, ended))
+            self.checker.stops.append((self.pick_daemon(step), began, ended))
         if step.action in (Action.PAUSE, Action.STORE_PATH, Action.ENDPOINT_PATH):
-            self.witness.healed.append(ended)
+            self.checker.healed.append(ended)
 
-    async def use(self, daemon: Daemon, seed: int) -> None:
+    async def send_requests(self, daemon: Daemon, seed: int) -> None:
         """Keep asking a daemon, over connections that are kept while they hold."""
         draw = random.Random(seed)
         async with open_session() as http:
@@ -142,13 +142,13 @@
             while True:
                 adapter = ""
                 path = "/plain/"
-                if draw.random() < MODEL_SHARE:
+                if draw.random() < MODEL_FRACTION:
                     number = int(draw.paretovariate(ADAPTER_TAIL))
                     adapter = f"a{min(ADAPTERS, number)}"
                     path = "/models/"
                 key = self.pick_key(draw)
-                asking = self.witness.ask(http, daemon, path, adapter, key)
-                task = asyncio.create_task(asking)
+                sending = self.checker.send(http, daemon, path, adapter, key)
+                task = asyncio.create_task(sending)
                 pending.add(task)
                 task.add_done_callback(pending.discard)
                 await asyncio.sleep(draw.expovariate(RATE))
@@ -156,17 +156,21 @@
     def pick_key(self, draw: random.Random) -> str:
         """Return the key of one of the organisations, at times one taken away."""
         keys = self.system.keys
-        (name,) = draw.choices(list(keys.current), ORGANISATION_PARTS)
-        if name == CHANGING and keys.taken_at and draw.random() < TAKEN_PART:
-            return list(keys.taken_at)[-1]
+        (name,) = draw.choices(list(keys.current), ORGANISATION_FRACTIONS)
+        if (
+            name == CHANGING
+            and keys.revoked_at
+            and draw.random() < REVOKED_KEY_FRACTION
+        ):
+            return list(keys.revoked_at)[-1]
         return keys.current[name]
 
     async def probe(self, daemon: Daemon) -> None:
         """Keep asking a daemon which configuration is in force."""
         async with open_session() as http:
             while True:
-                await self.witness.probe_configuration(http, daemon)
-                await asyncio.sleep(PROBE_EVERY)
+                await self.checker.probe_configuration(http, daemon)
+                await asyncio.sleep(PROBE_INTERVAL)
 
 
 @performs(Action.STORE_PATH)
@@ -184,74 +188,74 @@
 async def disturb_path(proxy: Proxy, step: Step) -> None:
     """Disturb what crosses a proxy for a while."""
     proxy.set_mode(step.mode)
-    await asyncio.sleep(step.lasts)
+    await asyncio.sleep(step.duration)
     proxy.set_mode(ProxyMode.PASS)
 
 
-@performs(Action.STORE_DOWN, Action.STORE_SLOW, Action.STORE_LOSES)
+@performs(Action.STORE_DOWN, Action.STORE_SLOW, Action.STORE_LOSES_ANSWERS)
 async def disturb_store(soak: Soak, step: Step) -> None:
     """Have the store down, slow, or losing answers of writes."""
     faults = soak.system.store.faults
-    wanted: dict[Action, dict[str, Any]] = {
+    settings: dict[Action, dict[str, Any]] = {
         Action.STORE_DOWN: {"down": True},
-        Action.STORE_SLOW: {"slow": STORE_SLOW},
-        Action.STORE_LOSES: {"lose_answers": STORE_LOSES},
+        Action.STORE_SLOW: {"slow": STORE_DELAY},
+        Action.STORE_LOSES_ANSWERS: {"lose_answers": STORE_LOSS_FRACTION},
     }
-    faults.set(**wanted[step.action])
-    await asyncio.sleep(step.lasts)
+    faults.set(**settings[step.action])
+    await asyncio.sleep(step.duration)
     faults.set(down=False, slow=0.0, lose_answers=0.0)
 
 
-@performs(Action.STORE_FORGETS)
-async def forget_history(soak: Soak, _: Step) -> None:
+@performs(Action.STORE_COMPACTS)
+async def compact_history(soak: Soak, _: Step) -> None:
     """Have the store forget its history."""
-    soak.system.store.forget()
+    soak.system.store.compact()
 
 
-@performs(Action.STORE_RETURNS)
-async def return_from_copy(soak: Soak, step: Step) -> None:
+@performs(Action.STORE_RESTORED)
+async def restore_from_backup(soak: Soak, step: Step) -> None:
     """Have the store lose what it acknowledged for a while."""
     store = soak.system.store
-    kept = store.copy()
-    await asyncio.sleep(step.lasts)
+    backup = store.make_snapshot()
+    await asyncio.sleep(step.duration)
     store.faults.set(down=True)
-    await asyncio.sleep(RETURN_AWAY)
-    await store.restore(kept)
+    await asyncio.sleep(RESTORE_DOWNTIME)
+    await store.restore(backup)
     store.faults.set(down=False)
-    await asyncio.sleep(REWRITTEN_AFTER)
-    await soak.system.write_again()
+    await asyncio.sleep(REWRITE_DELAY)
+    await soak.system.rewrite_objects()
 
 
-@performs(Action.SAYS_LEAVING)
-async def say_leaving(soak: Soak, step: Step) -> None:
+@performs(Action.LEAVING_NOTICE)
+async def announce_leaving(soak: Soak, step: Step) -> None:
     """Have an endpoint leave that cannot write so to the store; another comes."""
     endpoint = soak.pick_endpoint(step)
-    if endpoint.leaving_at is not None or endpoint.said_at is not None:
+    if endpoint.leaving_at is not None or endpoint.announced_at is not None:
         return
     await soak.system.add_endpoint(endpoint.engine.service, endpoint.engine.zone)
-    endpoint.engine.keeps_silent_in_the_store(LEAVES_FOR)
-    endpoint.engine.says_leaving = True
-    endpoint.said_at = asyncio.get_running_loop().time()
-    await asyncio.sleep(LEAVES_FOR)
-    await soak.system.end_endpoint(endpoint)
+    endpoint.engine.pause_heartbeats(LEAVING_DURATION)
+    endpoint.engine.reports_leaving = True
+    endpoint.announced_at = asyncio.get_running_loop().time()
+    await asyncio.sleep(LEAVING_DURATION)
+    await soak.system.remove_endpoint(endpoint)
 
 
-@performs(Action.WANTS_REST)
-async def want_rest(soak: Soak, step: Step) -> None:
+@performs(Action.BACKOFF_NOTICE)
+async def request_backoff(soak: Soak, step: Step) -> None:
     """Have an endpoint turn all requests away for a while, and say for how long."""
     endpoint = soak.pick_endpoint(step)
     now = asyncio.get_running_loop().time()
-    if now < endpoint.engine.rests_until:
+    if now < endpoint.engine.backoff_until:
         return
     boots = sum(daemon.boots for daemon in soak.system.daemons)
-    endpoint.engine.rests_until = now + step.lasts
-    await asyncio.sleep(step.lasts)
+    endpoint.engine.backoff_until = now + step.duration
+    await asyncio.sleep(step.duration)
     booted = sum(daemon.boots for daemon in soak.system.daemons) - boots
-    soak.witness.check_rest(endpoint, now, booted)
+    soak.checker.check_backoff(endpoint, now, booted)
 
 
-@performs(Action.NAMES_LIMIT)
-async def name_limit(soak: Soak, step: Step) -> None:
+@performs(Action.RATE_LIMIT_NOTICE)
+async def announce_rate_limit(soak: Soak, step: Step) -> None:
     """Have an endpoint name a limit that changes a little all the time."""
     endpoint = soak.pick_endpoint(step)
     engine = endpoint.engine
@@ -260,11 +264,11 @@
     clock = asyncio.get_running_loop().time
     limit = LIMITS[step.target % len(LIMITS)]
     began = clock()
-    while clock() < began + step.lasts:
-        engine.limit = limit * random.uniform(*LIMIT_CHANGES)
-        await asyncio.sleep(LIMIT_CHANGES_EVERY)
+    while clock() < began + step.duration:
+        engine.limit = limit * random.uniform(*LIMIT_JITTER)
+        await asyncio.sleep(LIMIT_CHANGE_INTERVAL)
     engine.limit = None
-    soak.witness.check_limit(endpoint, limit, began, clock())
+    soak.checker.check_limit(endpoint, limit, began, clock())
 
 
 @performs(Action.PAUSE)
@@ -272,7 +276,7 @@
     """Stop a daemon's process for a while, and let it go on."""
     daemon = soak.pick_daemon(step)
     daemon.signal(signal.SIGSTOP)
-    await asyncio.sleep(step.lasts)
+    await asyncio.sleep(step.duration)
     daemon.signal(signal.SIGCONT)
 
 
@@ -313,31 +317,31 @@
     endpoint = soak.pick_engine(step)
     if endpoint is None:
         return
-    await soak.system.end_endpoint(endpoint)
-    await asyncio.sleep(step.lasts)
+    await soak.system.remove_endpoint(endpoint)
+    await asyncio.sleep(step.duration)
     await soak.system.add_endpoint(endpoint.engine.service, endpoint.engine.zone)
 
 
 @performs(Action.ENGINE_LEAVES)
-async def have_endpoint_leave(soak: Soak, step: Step) -> None:
+async def drain_endpoint(soak: Soak, step: Step) -> None:
     """Have an endpoint leave as planned, once another has come."""
     endpoint = soak.pick_endpoint(step)
     if endpoint.leaving_at is not None:
         return
     await soak.system.add_endpoint(endpoint.engine.service, endpoint.engine.zone)
     endpoint.engine.state = "draining"
-    await asyncio.sleep(ENTRY_WRITTEN)
+    await asyncio.sleep(ENTRY_WRITE_TIME)
     endpoint.leaving_at = asyncio.get_running_loop().time()
-    await asyncio.sleep(LEAVES_FOR)
-    await soak.system.end_endpoint(endpoint)
+    await asyncio.sleep(LEAVING_DURATION)
+    await soak.system.remove_endpoint(endpoint)
 
 
 @performs(Action.ENGINE_ERRORS)
-async def have_errors(soak: Soak, step: Step) -> None:
+async def inject_errors(soak: Soak, step: Step) -> None:
     """Have an endpoint answer 500 for a while."""
     faults = soak.pick_endpoint(step).engine.faults
     faults.set(errors=True)
-    await asyncio.sleep(step.lasts)
+    await asyncio.sleep(step.duration)
     faults.set(errors=False)
 
 
@@ -355,54 +359,54 @@
 
 
 @performs(Action.POISON)
-async def send_deadly(soak: Soak, step: Step) -> None:
+async def repeat_poison(soak: Soak, step: Step) -> None:
     """Have a request come again and again, at any daemon, that ends engines."""
     draw = random.Random(step.target)
     clock = asyncio.get_running_loop().time
-    until = clock() + step.lasts
+    until = clock() + step.duration
     async with open_session() as http:
         while clock() < until:
             daemon = draw.choice(soak.system.daemons)
-            await soak.witness.ask_deadly(http, daemon, f"{DEADLY_TEXT} {step.target}")
-            await asyncio.sleep(draw.uniform(*DEADLY_AGAIN))
+            await soak.checker.send_poison(http, daemon, f"{POISON_TEXT} {step.target}")
+            await asyncio.sleep(draw.uniform(*POISON_REPEAT_INTERVALS))
 
 
 @performs(Action.VERSION)
-async def name_version(soak: Soak, step: Step) -> None:
+async def publish_version(soak: Soak, step: Step) -> None:
     """Name a new version of an adapter."""
-    await soak.system.name_version(f"a{step.target % ADAPTERS + 1}")
+    await soak.system.publish_version(f"a{step.target % ADAPTERS + 1}")
 
 
-async def run_plan(system: SoakSystem, plan: list[Step], daemons: int) -> Witness:
+async def run_plan(system: SoakSystem, plan: list[Step], daemons: int) -> Checker:
     """Carry a plan out on a system that has not been started; return what was seen."""
-    witness = Witness(system)
-    soak = Soak(system, witness)
+    checker = Checker(system)
+    soak = Soak(system, checker)
     tasks: list[asyncio.Task[None]] = []
     try:
         await system.start(daemons)
         await _wait_until_ready(system)
         for number, daemon in enumerate(system.daemons):
-            tasks.append(asyncio.create_task(system.keep_running(daemon)))
-            tasks.append(asyncio.create_task(soak.use(daemon, number)))
+            tasks.append(asyncio.create_task(system.supervise(daemon)))
+            tasks.append(asyncio.create_task(soak.send_requests(daemon, number)))
             tasks.append(asyncio.create_task(soak.probe(daemon)))
         await _perform_all(soak, plan)
         await _check_recovery(soak)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        witness.check_end()
+        checker.check_final()
     finally:
         for task in tasks:
             task.cancel()
         await system.close()
-    return witness
+    return checker
 
 
 async def _wait_until_ready(system: SoakSystem) -> None:
-    async with asyncio.timeout(READY_WITHIN), ClientSession() as http:
+    async with asyncio.timeout(READY_TIMEOUT), ClientSession() as http:
         for daemon in system.daemons:
             await wait_for_answer(http, f"http://{HOST}:{daemon.port + 1}/ready")
-    await asyncio.sleep(SETTLE)
+    await asyncio.sleep(SETTLE_TIME)
 
 
 async def _perform_all(soak: Soak, plan: list[Step]) -> None:
@@ -417,44 +421,44 @@
 
 async def _check_recovery(soak: Soak) -> None:
     """Check that requests are served again some time after all disturbance."""
-    await asyncio.sleep(RECOVERY)
+    await asyncio.sleep(RECOVERY_TIME)
     since = asyncio.get_running_loop().time()
-    await asyncio.sleep(MEASURE_FOR)
-    asks = [a for a in soak.witness.asks if a.began >= since and a.ended]
-    asks = [ask for ask in asks if soak.witness.is_owed(ask)]
-    served = sum(ask.status == 200 and ask.whole for ask in asks)
-    if not asks or served < RECOVERY_PART * len(asks):
-        soak.witness.problems.append(f"recovered: {served} of {len(asks)} served")
+    await asyncio.sleep(MEASURE_DURATION)
+    records = [a for a in soak.checker.records if a.began >= since and a.ended]
+    records = [record for record in records if soak.checker.must_be_served(record)]
+    served = sum(record.status == 200 and record.whole for record in records)
+    if not records or served < MIN_RECOVERED_FRACTION * len(records):
+        soak.checker.problems.append(f"recovered: {served} of {len(records)} served")
 
 
 async def shrink(plan: list[Step], run: RunPlan) -> list[Step]:
     """Return a smaller plan that fails too, found within some runs."""
     runs = 0
     part = len(plan) // 2
-    while part and runs < DRAWS_TO_SHRINK:
+    while part and runs < MAX_SHRINK_RUNS:
         for start in range(0, len(plan), part):
             fewer = plan[:start] + plan[start + part :]
             runs += 1
             if fewer and (await run(fewer)).problems:
                 plan = fewer
                 break
-            if runs >= DRAWS_TO_SHRINK:
+            if runs >= MAX_SHRINK_RUNS:
                 break
         else:
             part //= 2
     return plan
 
 
-def report(witness: Witness, seed: int) -> None:
+def report(checker: Checker, seed: int) -> None:
     """Print what came of a seed."""
-    statuses = Counter(ask.status for ask in witness.asks)
-    orders = sum(len(e.engine.holders) for e in witness.system.every_endpoint)
+    statuses = Counter(record.status for record in checker.records)
+    orders = sum(len(e.engine.holders) for e in checker.system.all_endpoints)
     click.echo(
-        f"seed {seed}: requests {len(witness.asks)}, by status "
+        f"seed {seed}: requests {len(checker.records)}, by status "
         f"{dict(sorted(statuses.items()))}, orders {orders}, "
-        f"problems {len(witness.problems)}"
+        f"problems {len(checker.problems)}"
     )
-    for problem in witness.problems[:20]:
+    for problem in checker.problems[:20]:
         click.echo(f"  {problem}")
 
 
@@ -488,9 +492,9 @@
             else:
                 directory = Path(stack.enter_context(tempfile.TemporaryDirectory()))
             run = _make_runner(directory, base_port, daemons)
-            witness = asyncio.run(run(plan))
-            report(witness, number)
-            if witness.problems:
+            checker = asyncio.run(run(plan))
+            report(checker, number)
+            if checker.problems:
                 failed.append(number)
                 if shrunk:
                     plan = asyncio.run(shrink(plan, run))
@@ -500,7 +504,7 @@
 
 
 def _make_runner(directory: Path, base_port: int, daemons: int) -> RunPlan:
-    async def run(plan: list[Step]) -> Witness:
+    async def run(plan: list[Step]) -> Checker:
         return await run_plan(SoakSystem(directory, base_port), plan, daemons)
 
     return run
--- a/bench/faultsoak/system.py
+++ b/bench/faultsoak/system.py
@@ -29,18 +29,18 @@
 from standins.platform_engine import PlatformEngine, make_engine_app
 from standins.platform_store import PlatformStore, make_store_app
 
-PORTS_A_DAEMON: Final = 10
+PORTS_PER_DAEMON: Final = 10
 # Endpoints of one data centre by service.
 ENDPOINTS: Final = {"models": 2, "plain": 1}
 # Streams of a third of a second: some are under way whenever something happens.
 EVENT_TIME: Final = 0.06
 # How long the platform waits before it starts a daemon again.
-RESTART_AFTER: Final = 0.4
-WATCH_EVERY: Final = 0.02
+RESTART_DELAY: Final = 0.4
+WATCH_INTERVAL: Final = 0.02
 # An engine that a request has ended is back after so long, its old entry gone.
-BACK_AFTER: Final = 1.0
+CRASH_RESTART_DELAY: Final = 1.0
 # A planned stop ends with 0, or by its signal where the daemon had only just started.
-EXPECTED_ENDS: Final = frozenset({0, -signal.SIGKILL, -signal.SIGTERM})
+EXPECTED_EXIT_CODES: Final = frozenset({0, -signal.SIGKILL, -signal.SIGTERM})
 
 
 @dataclass
@@ -76,7 +76,7 @@
     runner: web.AppRunner
     leaving_at: float | None = None
     # Since when its answers say that it leaves.
-    said_at: float | None = None
+    announced_at: float | None = None
 
 
 @dataclass
@@ -88,21 +88,21 @@
     source: Path = REPOSITORY / "src"
     daemons: list[Daemon] = field(default_factory=list)
     endpoints: list[SoakEndpoint] = field(default_factory=list)
-    gone: list[SoakEndpoint] = field(default_factory=list)
+    removed_endpoints: list[SoakEndpoint] = field(default_factory=list)
     store: PlatformStore = field(default_factory=lambda: PlatformStore({}))
     store_port: int = 0
     version: int = 1
     configured_at: float = 0.0
-    newest: dict[str, int] = field(default_factory=dict)
+    newest_versions: dict[str, int] = field(default_factory=dict)
     keys: Keys = field(default_factory=Keys)
-    odd_ends: list[str] = field(default_factory=list)
+    unexpected_exits: list[str] = field(default_factory=list)
     _runner: web.AppRunner | None = None
     _crashes: set[asyncio.Task[None]] = field(default_factory=set)
 
     @property
-    def every_endpoint(self) -> list[SoakEndpoint]:
+    def all_endpoints(self) -> list[SoakEndpoint]:
         """Return all starts of endpoints, also those that are gone."""
-        return [*self.endpoints, *self.gone]
+        return [*self.endpoints, *self.removed_endpoints]
 
     async def start(self, daemons: int) -> None:
         """Start everything."""
@@ -122,7 +122,7 @@
         daemon = Daemon(
             vm=vm,
             data_centre=DATA_CENTRES[number % len(DATA_CENTRES)],
-            port=self.base_port + PORTS_A_DAEMON * number,
+            port=self.base_port + PORTS_PER_DAEMON * number,
             store=store,
             log=self.directory / f"{vm}.log",
         )
@@ -148,22 +148,24 @@
             )
         daemon.boots += 1
 
-    async def keep_running(self, daemon: Daemon) -> None:
+    async def supervise(self, daemon: Daemon) -> None:
         """Start a daemon again whenever its process has ended, as the platform does."""
         while True:
-            await asyncio.sleep(WATCH_EVERY)
+            await asyncio.sleep(WATCH_INTERVAL)
             if daemon.process is None or daemon.process.poll() is None:
                 continue
-            if daemon.process.returncode not in EXPECTED_ENDS:
-                self.odd_ends.append(f"{daemon.vm} ended: {daemon.process.returncode}")
-            await asyncio.sleep(RESTART_AFTER)
+            if daemon.process.returncode not in EXPECTED_EXIT_CODES:
+                self.unexpected_exits.append(
+                    f"{daemon.vm} ended: {daemon.process.returncode}"
+                )
+            await asyncio.sleep(RESTART_DELAY)
             self.boot(daemon)
 
     async def wait_for_restart(self, daemon: Daemon) -> None:
         """Wait until a daemon that is being ended has been started again."""
         boots = daemon.boots
         while daemon.boots == boots:
-            await asyncio.sleep(WATCH_EVERY)
+            await asyncio.sleep(WATCH_INTERVAL)
 
     async def add_endpoint(self, service: str, zone: str) -> SoakEndpoint:
         """Start an endpoint behind a proxy."""
@@ -173,7 +175,7 @@
             address="",
             zone=zone,
             model=MODEL if service == "models" else "",
-            newest=self.newest,
+            newest_versions=self.newest_versions,
             event_time=EVENT_TIME,
         )
         proxy = Proxy()
@@ -197,25 +199,25 @@
         if endpoint not in self.endpoints:
             return
         self.endpoints.remove(endpoint)
-        self.gone.append(endpoint)
+        self.removed_endpoints.append(endpoint)
         endpoint.proxy.close()
         await endpoint.runner.cleanup()
-        await asyncio.sleep(BACK_AFTER)
+        await asyncio.sleep(CRASH_RESTART_DELAY)
         before = endpoint.engine
-        if len(self.gone) % 2:
+        if len(self.removed_endpoints) % 2:
             await self.store.drop("servers", before.id)
             await self.add_endpoint(before.service, before.zone)
         else:
-            again = await self.add_endpoint(before.service, before.zone)
-            again.engine.id = before.id
-            again.engine.born = max(again.engine.born, before.born + 1)
+            replacement = await self.add_endpoint(before.service, before.zone)
+            replacement.engine.id = before.id
+            replacement.engine.born = max(replacement.engine.born, before.born + 1)
 
-    async def end_endpoint(self, endpoint: SoakEndpoint) -> None:
+    async def remove_endpoint(self, endpoint: SoakEndpoint) -> None:
         """End an endpoint at once; its entry goes from the store."""
         if endpoint not in self.endpoints:
             return
         self.endpoints.remove(endpoint)
-        self.gone.append(endpoint)
+        self.removed_endpoints.append(endpoint)
         endpoint.proxy.close()
         await endpoint.runner.cleanup()
         await self.store.drop("servers", endpoint.engine.id)
@@ -238,29 +240,29 @@
 
     async def revoke(self) -> None:
         """Take a key away, and give its organisation another."""
-        before = self.keys.give(CHANGING)
+        before = self.keys.issue(CHANGING)
         self.version += 1
         await self.configure()
-        self.keys.taken_at[before] = self.configured_at
-        self.keys.given_at[self.keys.current[CHANGING]] = self.configured_at
+        self.keys.revoked_at[before] = self.configured_at
+        self.keys.issued_at[self.keys.current[CHANGING]] = self.configured_at
 
-    async def name_version(self, adapter: str) -> None:
+    async def publish_version(self, adapter: str) -> None:
         """Put a new version of an adapter in the store."""
-        number = self.newest.get(adapter, 1) + 1
-        self.newest[adapter] = number
+        number = self.newest_versions.get(adapter, 1) + 1
+        self.newest_versions[adapter] = number
         await self._write_version(adapter, number)
 
     async def _write_version(self, adapter: str, number: int) -> None:
         content = {"Model": MODEL, "Adapter": adapter, "Version": number}
         await self.store.put("versions", f"{MODEL}.{adapter}", content)
 
-    async def write_again(self) -> None:
+    async def rewrite_objects(self) -> None:
         """Write what the operators wrote, which the store may have lost."""
         began = self.configured_at
         await self.configure()
         # It was acknowledged before, and all its bounds run from then.
         self.configured_at = began
-        for adapter, number in self.newest.items():
+        for adapter, number in self.newest_versions.items():
             await self._write_version(adapter, number)
 
     async def close(self) -> None:
@@ -273,7 +275,7 @@
                 daemon.process.wait()
             daemon.store.close()
         for endpoint in list(self.endpoints):
-            await self.end_endpoint(endpoint)
+            await self.remove_endpoint(endpoint)
         if self._runner is not None:
             await self._runner.cleanup()
 
--- a/bench/fleet_demo.py
+++ b/bench/fleet_demo.py
@@ -22,7 +22,7 @@
     HOST,
     REPOSITORY,
     Cluster,
-    Shape,
+    ClusterSpec,
     conclude_demo,
     wait_for_answer,
 )
@@ -30,8 +30,8 @@
 MODEL: Final = "base"
 DATA_CENTRES: Final = ("north", "south")
 HOST_NAME: Final = "shop.example"
-SETTLE: Final = 1.5
-READY_WITHIN: Final = 10.0
+SETTLE_TIME: Final = 1.5
+READY_TIMEOUT: Final = 10.0
 
 CONFIGURATION: Final[dict[str, Any]] = {
     "Services": [
@@ -117,8 +117,8 @@
 class FleetCluster(Cluster):
     """The processes of the platform's way."""
 
-    def __init__(self, shape: Shape) -> None:
-        super().__init__(shape)
+    def __init__(self, spec: ClusterSpec) -> None:
+        super().__init__(spec)
         self.endpoints = {
             f"{service}-{at}": (service, zone)
             for at, zone in enumerate(DATA_CENTRES)
@@ -128,7 +128,7 @@
 
     def port(self, name: str) -> int:
         """Return the port of a stand-in, or the first of a daemon's ports."""
-        base = self.shape.base_port
+        base = self.spec.base_port
         if name == "store":
             return base
         if name in self.vms:
@@ -154,13 +154,13 @@
                 self.start_fleet_daemon(vm)
             for vm in self.vms:
                 await wait_for_answer(http, f"http://{HOST}:{self.port(vm) + 1}/ready")
-        await asyncio.sleep(SETTLE)
+        await asyncio.sleep(SETTLE_TIME)
 
     def start_fleet_daemon(self, vm: str) -> None:
         """Start one daemon with the settings that the platform would lay."""
         port = self.port(vm)
         settings = make_settings(vm, self.vms[vm], port, self.port("store"))
-        path = self.shape.directory / f"{vm}.json"
+        path = self.spec.directory / f"{vm}.json"
         path.write_text(json.dumps(settings), encoding="utf-8")
         os.environ["KESTRELTALLY_CONFIG"] = str(path)
         self._spawn(vm, [sys.executable, "src/kestreltally_fleet.py"])
@@ -187,68 +187,72 @@
     def __init__(self, cluster: FleetCluster, http: ClientSession) -> None:
         self._cluster = cluster
         self._http = http
-        self._asked = 0
-        self.wrong = 0
+        self._sent_count = 0
+        self.failures = 0
 
-    def check(self, holds: bool, what: str) -> None:
+    def check(self, passed: bool, description: str) -> None:
         """Print one check."""
-        self.wrong += not holds
-        click.echo(f"{'right' if holds else 'WRONG'}: {what}")
+        self.failures += not passed
+        click.echo(f"{'right' if passed else 'WRONG'}: {description}")
 
-    async def ask(self, vm: str, path: str, adapter: str = "") -> tuple[int, str]:
+    async def send(self, vm: str, path: str, adapter: str = "") -> tuple[int, str]:
         """Send a request to a daemon; return status and body."""
-        self._asked += 1
-        headers = {"Host": HOST_NAME, "X-Request-Id": f"demo-{self._asked}"}
+        self._sent_count += 1
+        headers = {"Host": HOST_NAME, "X-Request-Id": f"demo-{self._sent_count}"}
         if adapter:
             headers["X-Model-Name"] = f"{MODEL}/{adapter}"
         url = f"http://{HOST}:{self._cluster.port(vm)}{path}"
         async with self._http.post(url, headers=headers, data=b"x") as response:
             return response.status, await response.text()
 
-    async def check_adapter(self, vm: str, adapter: str, what: str) -> None:
+    async def check_adapter(self, vm: str, adapter: str, description: str) -> None:
         """Check that a request is answered whole by its adapter."""
-        status, text = await self.ask(vm, "/models/ask", adapter)
+        status, text = await self.send(vm, "/models/ask", adapter)
         events = read_events(text)
         ran = {event["ran"] for event in events}
-        right = status == 200 and len(events) == 5 and ran == {f"{adapter}@1"}
-        self.check(right, f"{what}: {status}, {len(events)} events by {ran}")
+        passed = status == 200 and len(events) == 5 and ran == {f"{adapter}@1"}
+        self.check(passed, f"{description}: {status}, {len(events)} events by {ran}")
 
     async def run(self) -> None:
         """Run all steps."""
-        status, text = await self.ask("vm-0", "/ledger/post?x=1")
+        status, text = await self.send("vm-0", "/ledger/post?x=1")
         self.check((status, text) == (200, "POST /ledger/post?x=1 1"), f"plain: {text}")
         for number in range(6):
             vm = f"vm-{number % 3}"
             await self.check_adapter(vm, f"a{number}", f"adapter a{number} by {vm}")
         leader = self.find_leader("north")
         self._cluster.kill(leader)
-        left = "vm-1" if leader == "vm-0" else "vm-0"
-        await self.check_adapter(left, "a9", f"a new adapter after {leader} was killed")
+        remaining = "vm-1" if leader == "vm-0" else "vm-0"
+        await self.check_adapter(
+            remaining, "a9", f"a new adapter after {leader} was killed"
+        )
         await self._cluster.put_configuration(self._http, 5, "/moved/")
-        await asyncio.sleep(SETTLE)
-        status, _ = await self.ask(left, "/moved/x")
-        gone, _ = await self.ask("vm-2", "/ledger/x")
-        self.check((status, gone) == (200, 404), "a new configuration is in force")
-        self.explain(f"demo-{self._asked - 2}")
+        await asyncio.sleep(SETTLE_TIME)
+        status, _ = await self.send(remaining, "/moved/x")
+        removed_status, _ = await self.send("vm-2", "/ledger/x")
+        self.check(
+            (status, removed_status) == (200, 404), "a new configuration is in force"
+        )
+        self.explain(f"demo-{self._sent_count - 2}")
 
     def find_leader(self, data_centre: str) -> str:
         """Return which daemon leads a data centre, by the daemons' lines."""
         for vm in self._cluster.vms:
             for text in self.read_log(vm):
                 line = json.loads(text)
-                held = line.get("event") == "lease: held"
-                if held and line.get("lease") == data_centre:
+                is_held = line.get("event") == "lease: held"
+                if is_held and line.get("lease") == data_centre:
                     return vm
         raise TimeoutError(f"nobody leads {data_centre}")
 
     def read_log(self, vm: str) -> list[str]:
         """Return a daemon's lines so far."""
-        path = self._cluster.shape.directory / f"{vm}.log"
+        path = self._cluster.spec.directory / f"{vm}.log"
         return path.read_text(encoding="utf-8").splitlines()
 
     def explain(self, request: str) -> None:
         """Have the command line explain a request."""
-        logs = [self._cluster.shape.directory / f"{vm}.log" for vm in self._cluster.vms]
+        logs = [self._cluster.spec.directory / f"{vm}.log" for vm in self._cluster.vms]
         command = [sys.executable, "-m", "kestreltally.cli.main", "logs", "explain"]
         done = subprocess.run(
             [*command, request, *map(str, logs)],
@@ -262,15 +266,15 @@
 
 
 async def _demonstrate(directory: Path, base_port: int) -> bool:
-    cluster = FleetCluster(Shape(directory=directory, base_port=base_port))
+    cluster = FleetCluster(ClusterSpec(directory=directory, base_port=base_port))
     try:
         await cluster.start()
-        async with ClientSession(timeout=ClientTimeout(total=READY_WITHIN)) as http:
+        async with ClientSession(timeout=ClientTimeout(total=READY_TIMEOUT)) as http:
             demo = FleetDemo(cluster, http)
             await demo.run()
         statuses = await cluster.stop()
         demo.check(set(statuses.values()) == {0}, f"planned stops: {statuses}")
-        return demo.wrong == 0
+        return demo.failures == 0
     finally:
         cluster.kill_all()
 
@@ -281,11 +285,11 @@
     """Show the platform's way once."""
     with tempfile.TemporaryDirectory() as directory:
         try:
-            right = asyncio.run(_demonstrate(Path(directory), base_port))
+            passed = asyncio.run(_demonstrate(Path(directory), base_port))
         except TimeoutError as error:
             click.echo(f"WRONG: {error!r}")
-            right = False
-        conclude_demo(Path(directory), right=right)
+            passed = False
+        conclude_demo(Path(directory), passed=passed)
 
 
 if __name__ == "__main__":
--- a/bench/logcost.py
+++ b/bench/logcost.py
@@ -31,22 +31,22 @@
     case: str
     lines: int
     bytes: int
-    processor: float
-    longest: float
+    cpu_fraction: float
+    longest_call: float
 
 
 class _Reader(threading.Thread):
     """Reads the lines, or does not."""
 
-    def __init__(self, descriptor: int, *, reads: bool) -> None:
+    def __init__(self, descriptor: int, *, is_reading: bool) -> None:
         super().__init__(daemon=True)
         self._descriptor = descriptor
-        self._reads = reads
+        self._is_reading = is_reading
         self.bytes = 0
         self.lines = 0
 
     def run(self) -> None:
-        while self._reads:
+        while self._is_reading:
             content = os.read(self._descriptor, CHUNK)
             if not content:
                 return
@@ -56,7 +56,7 @@
 
 async def log_requests(rate: int) -> float:
     """Log what a request logs, so many a second; return the longest call, seconds."""
-    longest = 0.0
+    longest_call = 0.0
     for number in range(int(rate * SECONDS)):
         began = time.perf_counter()
         log_decision(
@@ -74,29 +74,31 @@
             took=1.613,
             trail=["i-54cdb84ec1 of 3, 2 under way"],
         )
-        longest = max(longest, time.perf_counter() - began)
+        longest_call = max(longest_call, time.perf_counter() - began)
         await asyncio.sleep(1 / rate)
     log_suppressed(LOG, 0)
-    return longest
+    return longest_call
 
 
-def measure(case: str, rate: int, *, reads: bool) -> LogCost:
+def measure(case: str, rate: int, *, is_reading: bool) -> LogCost:
     """Return what the lines cost at a rate."""
     source, target = os.pipe()
-    reader = _Reader(source, reads=reads)
+    reader = _Reader(source, is_reading=is_reading)
     reader.start()
     writer = LineWriter(os.fdopen(target, "w"), "vm-1")
     root = logging.getLogger()
     root.handlers[:] = [writer]
     root.setLevel(logging.INFO)
-    quiet = time.process_time()
+    baseline = time.process_time()
     asyncio.run(_idle(rate))
-    quiet = time.process_time() - quiet
+    baseline = time.process_time() - baseline
     began = time.process_time()
-    longest = asyncio.run(log_requests(rate))
+    longest_call = asyncio.run(log_requests(rate))
     time.sleep(0.2)
     spent = time.process_time() - began
-    return LogCost(case, reader.lines, reader.bytes, (spent - quiet) / SECONDS, longest)
+    return LogCost(
+        case, reader.lines, reader.bytes, (spent - baseline) / SECONDS, longest_call
+    )
 
 
 async def _idle(rate: int) -> None:
@@ -110,16 +112,16 @@
     """Print the table."""
     click.echo("| case | lines/s read | kB/s read | of a core | longest call, ms |")
     click.echo("| --- | ---: | ---: | ---: | ---: |")
-    for case, rate, reads in (
+    for case, rate, is_reading in (
         ("usual rate", USUAL_RATE, True),
         ("ten times the usual rate", 10 * USUAL_RATE, True),
         ("ten times, the reader has stopped", 10 * USUAL_RATE, False),
     ):
-        cost = measure(case, rate, reads=reads)
+        cost = measure(case, rate, is_reading=is_reading)
         click.echo(
             f"| {cost.case} | {cost.lines / SECONDS:.0f} "
-            f"| {cost.bytes / SECONDS / 1000:.1f} | {cost.processor:.4f} "
-            f"| {1000 * cost.longest:.2f} |"
+            f"| {cost.bytes / SECONDS / 1000:.1f} | {cost.cpu_fraction:.4f} "
+            f"| {1000 * cost.longest_call:.2f} |"
         )
 
 
--- a/bench/path.py
+++ b/bench/path.py
@@ -16,8 +16,8 @@
 import click
 from aiohttp import ClientSession, ClientTimeout, TCPConnector
 
-from bench.chaos import KEY, set_up
-from bench.cluster import Cluster, Shape
+from bench.chaos import KEY, write_configuration
+from bench.cluster import Cluster, ClusterSpec
 
 ROUNDS: Final = 200
 STREAMS: Final = 50
@@ -95,7 +95,7 @@
 
 async def run(directory: Path, base_port: int) -> None:
     """Run both measurements."""
-    shape = Shape(
+    spec = ClusterSpec(
         directory=directory,
         base_port=base_port,
         daemons=1,
@@ -103,7 +103,7 @@
         services=0,
         engine_options={"batch_limit": 64, "token_time": 0.0},
     )
-    cluster = Cluster(shape)
+    cluster = Cluster(spec)
     engine_headers = {"X-Adapter-Version": f"{ADAPTER}@1", "X-Attempt-Id": "direct/1"}
     headers = {"Authorization": f"Bearer {KEY}"}
     try:
@@ -111,12 +111,12 @@
         timeout = ClientTimeout(total=120)
         connector = TCPConnector(limit=0)
         async with ClientSession(timeout=timeout, connector=connector) as http:
-            await set_up(cluster, http)
+            await write_configuration(cluster, http)
             await asyncio.sleep(3.0)
             daemon, engine = cluster.callers_url(0), ""
             await stream(http, daemon, headers)
             await asyncio.sleep(1.0)
-            for number in range(shape.engines):
+            for number in range(spec.engines):
                 url = cluster.url(f"engine-{number}")
                 async with http.get(f"{url}/report") as response:
                     if json.loads(await response.text())["loaded"]:
--- a/bench/play.py
+++ b/bench/play.py
@@ -11,13 +11,13 @@
 
 import click
 
-from bench.cluster import REPOSITORY, Cluster, Shape
+from bench.cluster import REPOSITORY, Cluster, ClusterSpec
 from bench.demo import KEY, write_statements
 from kestreltally.cli.main import main as operate
 
 DIRECTORY: Final = REPOSITORY / "run"
 STATE: Final = DIRECTORY / "processes.json"
-STOP_WITHIN: Final = 20.0
+STOP_TIMEOUT: Final = 20.0
 
 
 @click.group()
@@ -30,7 +30,7 @@
     """Start everything."""
     if STATE.exists():
         raise click.ClickException("it is up already; 'make down' stops it")
-    cluster = Cluster(Shape(directory=DIRECTORY))
+    cluster = Cluster(ClusterSpec(directory=DIRECTORY))
     asyncio.run(cluster.start())
     pids = {name: process.pid for name, process in cluster.processes.items()}
     STATE.write_text(json.dumps(pids), encoding="utf-8")
@@ -60,20 +60,20 @@
     if not STATE.exists():
         raise click.ClickException("it is not up")
     pids = json.loads(STATE.read_text(encoding="utf-8"))
-    ours = {name: pid for name, pid in pids.items() if _is_running(pid)}
-    daemons = {name: pid for name, pid in ours.items() if name.startswith("vm-")}
+    running = {name: pid for name, pid in pids.items() if _is_running(pid)}
+    daemons = {name: pid for name, pid in running.items() if name.startswith("vm-")}
     for pid in daemons.values():
         os.kill(pid, signal.SIGTERM)
-    limit = time.monotonic() + STOP_WITHIN
+    limit = time.monotonic() + STOP_TIMEOUT
     while time.monotonic() < limit:
         if not any(_is_running(pid) for pid in daemons.values()):
             break
         time.sleep(0.1)
-    for pid in ours.values():
+    for pid in running.values():
         if _is_running(pid):
             os.kill(pid, signal.SIGKILL)
     STATE.unlink()
-    click.echo(f"stopped {len(ours)} processes")
+    click.echo(f"stopped {len(running)} processes")
 
 
 if __name__ == "__main__":
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -190,11 +190,11 @@
     """Return the bytes that are held after ``work``."""
     gc.collect()
     tracemalloc.start()
-    kept = work()
+    retained = work()
     gc.collect()
     size, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    del kept
+    del retained
     return size
 
 
@@ -204,8 +204,8 @@
     if len(points) == 1:
         return Slope(name, unit, base=0.0, slope=ys[0] / xs[0], residual=0.0, points=())
     slope, base = statistics.linear_regression(xs, ys)
-    miss = max(abs(base + slope * x - y) for x, y in points)
-    residual = miss / max(abs(y) for y in ys) if any(ys) else 0.0
+    deviation = max(abs(base + slope * x - y) for x, y in points)
+    residual = deviation / max(abs(y) for y in ys) if any(ys) else 0.0
     return Slope(name, unit, base, slope, residual, tuple(points))
 
 
@@ -264,7 +264,7 @@
     return bytes(buffer.getvalue())
 
 
-def carry(orders: Sequence[Any], to: World, sender: World) -> int:
+def transfer(orders: Sequence[Any], to: World, sender: World) -> int:
     """Carry messages from one world's outbox to another, coded; return the bytes."""
     messages = [order.message for order in orders if isinstance(order, SendMessage)]
     if not messages:
@@ -277,7 +277,7 @@
 
 
 @dataclass
-class PermitTrip:
+class PermitRoundTrip:
     """Requests that go from an entry daemon to a leader and back."""
 
     entry: World
@@ -292,7 +292,7 @@
         run_step(self.entry, self.entry.now + 0.0001, woken=True)
         return_permits(self.entry)
         orders, self.entry.outbox = self.entry.outbox, []
-        self.bytes_sent += carry(orders, self.leader, self.entry)
+        self.bytes_sent += transfer(orders, self.leader, self.entry)
         self.entry_cpu += time.process_time() - begin
 
     def step_leader(self) -> None:
@@ -300,7 +300,7 @@
         begin = time.process_time()
         run_step(self.leader, self.leader.now + 0.0001, woken=True)
         orders, self.leader.outbox = self.leader.outbox, []
-        self.bytes_sent += carry(orders, self.entry, self.leader)
+        self.bytes_sent += transfer(orders, self.entry, self.leader)
         self.leader_cpu += time.process_time() - begin
 
     def serve(self, number: int) -> None:
@@ -351,13 +351,13 @@
     entry.leaders.records[EndpointId("engine-0")] = leader.leaders.records[
         EndpointId("engine-0")
     ]
-    trip = PermitTrip(entry, leader)
+    round_trip = PermitRoundTrip(entry, leader)
     for number in range(count):
-        trip.serve(number)
+        round_trip.serve(number)
     return (
-        trip.entry_cpu / count * 1e6,
-        trip.leader_cpu / count * 1e6,
-        trip.bytes_sent / count,
+        round_trip.entry_cpu / count * 1e6,
+        round_trip.leader_cpu / count * 1e6,
+        round_trip.bytes_sent / count,
     )
 
 
@@ -405,14 +405,14 @@
     run_step(other, other.now + TICK)
     pings = [o for o in other.outbox if isinstance(o, SendMessage)][:1]
 
-    def beat() -> None:
+    def answer_heartbeats() -> None:
         for _ in range(count):
-            carry(pings, world, other)
+            transfer(pings, world, other)
             run_step(world, world.now + 0.0001, woken=True)
             encode([o.message for o in world.outbox if isinstance(o, SendMessage)])
             world.outbox.clear()
 
-    return measure_cpu(beat, count)
+    return measure_cpu(answer_heartbeats, count)
 
 
 async def _fetch_reports(count: int) -> None:
@@ -536,11 +536,17 @@
         ),
     }
     click.echo("permits, changes, heartbeats, tokens, events, owners", err=True)
-    trips = [(n, measure_permits(n)) for n in (6, 100, 400, 1100)]
-    entry = fit("entry per request", "µs", [(n, trip[0]) for n, trip in trips])
-    leader = fit("leader per request", "µs", [(n, trip[1]) for n, trip in trips])
+    round_trips = [(n, measure_permits(n)) for n in (6, 100, 400, 1100)]
+    entry = fit(
+        "entry per request", "µs", [(n, round_trip[0]) for n, round_trip in round_trips]
+    )
+    leader = fit(
+        "leader per request",
+        "µs",
+        [(n, round_trip[1]) for n, round_trip in round_trips],
+    )
     change_cpu, change_bytes = measure_change()
-    quiet, busy = measure_heartbeat()
+    empty, with_rumours = measure_heartbeat()
     event_cpu, event_bytes = measure_events()
     owners = fit(
         "owners worked out anew, per endpoint",
@@ -556,11 +562,11 @@
         memory_endpoint=memory["endpoint"],
         entry_request=entry,
         leader_request=leader,
-        request_bytes=trips[-1][1][2],
+        request_bytes=round_trips[-1][1][2],
         change_cpu=change_cpu,
         change_bytes=change_bytes,
-        heartbeat_quiet_bytes=quiet,
-        heartbeat_busy_bytes=busy,
+        heartbeat_empty_bytes=empty,
+        heartbeat_rumour_bytes=with_rumours,
         heartbeat_cpu=measure_heartbeat_cpu(),
         report_cpu=measure_report(),
         relay_token=measure_relay(),
--- a/standins/common.py
+++ b/standins/common.py
@@ -23,9 +23,9 @@
         """Return the present value of a fault."""
         return self._values[name]
 
-    def set(self, **wanted: Any) -> None:
+    def set(self, **requested: Any) -> None:
         """Set faults by name."""
-        self._values.update(wanted)
+        self._values.update(requested)
 
     async def show(self, http: web.Request) -> web.Response:
         """Answer with all faults."""
@@ -33,13 +33,13 @@
 
     async def change(self, http: web.Request) -> web.Response:
         """Set the faults in the body; an unknown name is an error."""
-        wanted = await http.json()
-        unknown = set(wanted) - set(self._values)
+        requested = await http.json()
+        unknown = set(requested) - set(self._values)
         if unknown:
             known = ", ".join(sorted(self._values))
             text = f"unknown fault {sorted(unknown)}; there are: {known}"
             return web.json_response({"error": text}, status=400)
-        self._values.update(wanted)
+        self._values.update(requested)
         return web.json_response(self._values)
 
     def add_routes(self, app: web.Application) -> None:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -20,7 +20,7 @@
 from standins.text import WORDS, make_token
 
 PREFIX_LENGTH: Final = 256
-CACHE_EVENTS_KEPT: Final = 1_000
+MAX_CACHE_EVENTS: Final = 1_000
 ROLES: Final = frozenset({"mixed", "prefill", "decode"})
 
 
@@ -98,7 +98,7 @@
 
     # Orders
 
-    def _take_fence(self, token: int) -> web.Response | None:
+    def _apply_fence(self, token: int) -> web.Response | None:
         if self.checks_fence and token < self.fence:
             self.counts["fenced_off"] += 1
             return web.json_response({"reason": "fenced"}, status=409)
@@ -109,13 +109,13 @@
         """Refuse older orders from now on."""
         await self._hang()
         body = await http.json()
-        return self._take_fence(body["token"]) or web.json_response({})
+        return self._apply_fence(body["token"]) or web.json_response({})
 
     async def load(self, http: web.Request) -> web.Response:
         """Load an adapter version through the weight store."""
         await self._hang()
         body = await http.json()
-        refused = self._take_fence(body["token"])
+        refused = self._apply_fence(body["token"])
         if refused is not None:
             return refused
         adapter = body["adapter"]
@@ -127,13 +127,13 @@
         self.loading.add(adapter)
         self.counts["loads"] += 1
         try:
-            whole = await self._fetch_weights(adapter)
+            fetched = await self._fetch_weights(adapter)
         finally:
             self.loading.discard(adapter)
-        if not whole or instance != self.instance:
+        if not fetched or instance != self.instance:
             return web.json_response({"reason": "load_failed"}, status=503)
         self.loaded.add(adapter)
-        self._note_report()
+        self._record_report()
         return web.json_response({})
 
     async def _fetch_weights(self, adapter: str) -> bool:
@@ -156,7 +156,7 @@
         """Unload an adapter version; what it serves is lost and counted."""
         await self._hang()
         body = await http.json()
-        refused = self._take_fence(body["token"])
+        refused = self._apply_fence(body["token"])
         if refused is not None:
             return refused
         adapter = body["adapter"]
@@ -167,7 +167,7 @@
             job.killed = True
         self.loaded.discard(adapter)
         self.counts["unloads"] += 1
-        self._note_report()
+        self._record_report()
         return web.json_response({})
 
     async def _hang(self) -> None:
@@ -186,7 +186,7 @@
             "leaving": self.faults.get("leaving"),
         }
 
-    def _note_report(self) -> None:
+    def _record_report(self) -> None:
         self._reports.append((time.monotonic(), self._compose()))
         del self._reports[:-500]
 
@@ -194,7 +194,7 @@
         """Serve the report as it was some time ago, with its age."""
         await self._hang()
         now = time.monotonic()
-        self._note_report()
+        self._record_report()
         old = [each for each in self._reports if each[0] <= now - self._lag]
         at, composed = old[-1] if old else self._reports[0]
         return web.json_response({**composed, "age": now - at})
@@ -224,10 +224,10 @@
         )
         self.jobs.append(job)
         self._admit()
-        self._note_report()
+        self._record_report()
         self.runs[attempt.partition("/")[0]] += 1
         try:
-            await self._wait_for_place(job)
+            await self._wait_for_admission(job)
             return await self._stream(http, body, job, attempt)
         finally:
             if job in self.jobs:
@@ -236,7 +236,7 @@
             if job in self.running:
                 self.running.remove(job)
             self._admit()
-            self._note_report()
+            self._record_report()
 
     def _admit(self) -> None:
         self._measure()
@@ -245,7 +245,7 @@
             self.running.append(job)
             job.admitted.set()
 
-    async def _wait_for_place(self, job: Job) -> None:
+    async def _wait_for_admission(self, job: Job) -> None:
         while not job.admitted.is_set() and not job.killed:
             try:
                 await asyncio.wait_for(job.admitted.wait(), 0.1)
@@ -267,14 +267,14 @@
         attempt: str,
     ) -> web.StreamResponse:
         prompt = read_prompt(body)
-        named = job.adapter
+        served_version = job.adapter
         if self.faults.get("wrong_version"):
-            named = f"{job.adapter.partition('@')[0]}@999"
+            served_version = f"{job.adapter.partition('@')[0]}@999"
         response = web.StreamResponse(
             headers={
                 "Content-Type": "text/event-stream",
                 "X-Attempt-Id": attempt,
-                "X-Adapter-Version": named,
+                "X-Adapter-Version": served_version,
             }
         )
         done = len(body.get("resume_token_ids", []))
@@ -285,9 +285,9 @@
             await asyncio.sleep(self._token_time * self.faults.get("slow"))
             cut_after = self.faults.get("cut_after")
             if job.killed or (cut_after and position - done >= cut_after):
-                return self._cut(http, response)
-            token = make_token(named, prompt, position)
-            await response.write(make_event(body, attempt, named, token))
+                return self._abort_stream(http, response)
+            token = make_token(served_version, prompt, position)
+            await response.write(make_event(body, attempt, served_version, token))
             self.counts["tokens"] += 1
         if not self.faults.get("no_end_mark"):
             await response.write(b"data: [DONE]\n\n")
@@ -298,41 +298,41 @@
     async def _prefill(self, prompt: str, done: int) -> None:
         """Take less time for a prompt whose beginning is cached."""
         head = prompt[:PREFIX_LENGTH]
-        known = head in self._prefixes
-        self._keep_prefix(head)
+        is_cached = head in self._prefixes
+        self._store_prefix(head)
         per_character = self.options.get("prefill_time", 0.000002)
-        characters = (len(prompt) + done) * (0.2 if known else 1.0)
+        characters = (len(prompt) + done) * (0.2 if is_cached else 1.0)
         await asyncio.sleep(per_character * characters)
 
-    def _keep_prefix(self, head: str) -> None:
+    def _store_prefix(self, head: str) -> None:
         """Cache a prefix, and drop the least recent one where memory is short."""
         if head not in self._prefixes:
-            self._note_cache("cached", head)
+            self._record_cache_event("cached", head)
         self._prefixes[head] = None
         self._prefixes.move_to_end(head)
         if len(self._prefixes) > self.options.get("prefixes", 64):
             oldest, _ = self._prefixes.popitem(last=False)
-            self._note_cache("dropped", oldest)
+            self._record_cache_event("dropped", oldest)
 
-    def _note_cache(self, kind: str, prefix: str) -> None:
+    def _record_cache_event(self, kind: str, prefix: str) -> None:
         number = next(self._serial)
         if self._random.random() >= self.faults.get("cache_gaps"):
             event = CacheEvent(number, time.monotonic(), kind, prefix)
             self._cache_events.append(event)
-        del self._cache_events[:-CACHE_EVENTS_KEPT]
+        del self._cache_events[:-MAX_CACHE_EVENTS]
 
     async def show_cache_events(self, http: web.Request) -> web.Response:
         """Serve the cache events after a number: late, and with gaps."""
         after = int(http.query.get("after", "-1"))
         until = time.monotonic() - self._lag
-        late = [e for e in self._cache_events if e.number > after and e.at <= until]
-        return web.json_response([asdict(event) for event in late])
+        visible = [e for e in self._cache_events if e.number > after and e.at <= until]
+        return web.json_response([asdict(event) for event in visible])
 
     async def change_role(self, http: web.Request) -> web.Response:
         """Take a fenced order to prefill, to decode, or to do both."""
         await self._hang()
         body = await http.json()
-        refused = self._take_fence(body["token"])
+        refused = self._apply_fence(body["token"])
         if refused is not None:
             return refused
         if body["role"] not in ROLES:
@@ -349,10 +349,10 @@
 
     async def import_cache(self, http: web.Request) -> web.Response:
         """Take in a cache that another engine handed out."""
-        self._keep_prefix((await http.json())["prefix"])
+        self._store_prefix((await http.json())["prefix"])
         return web.json_response({})
 
-    def _cut(
+    def _abort_stream(
         self,
         http: web.Request,
         response: web.StreamResponse,
@@ -377,7 +377,7 @@
             }
         )
 
-    async def take_restart(self, http: web.Request) -> web.Response:
+    async def handle_restart(self, http: web.Request) -> web.Response:
         """Restart with nothing loaded."""
         self.restart()
         return web.json_response({})
@@ -390,7 +390,9 @@
     return str(body.get("prompt", ""))
 
 
-def make_event(body: dict[str, Any], attempt: str, named: str, token: int) -> bytes:
+def make_event(
+    body: dict[str, Any], attempt: str, served_version: str, token: int
+) -> bytes:
     """Return one event of a streamed answer."""
     text = f" {WORDS[token]}"
     choice: dict[str, Any] = {"index": 0, "token_ids": [token]}
@@ -398,7 +400,7 @@
         choice["delta"] = {"content": text}
     else:
         choice["text"] = text
-    event = {"id": attempt, "model": named, "choices": [choice]}
+    event = {"id": attempt, "model": served_version, "choices": [choice]}
     return b"data: " + json.dumps(event, separators=(",", ":")).encode() + b"\n\n"
 
 
@@ -417,7 +419,7 @@
     app.router.add_get("/cache", engine.export_cache)
     app.router.add_put("/cache", engine.import_cache)
     app.router.add_get("/counts", engine.show_counts)
-    app.router.add_post("/restart", engine.take_restart)
+    app.router.add_post("/restart", engine.handle_restart)
     engine.faults.add_routes(app)
     return app
 
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -122,7 +122,7 @@
             return refused
         prefix, after = http.query["prefix"], int(http.query["after"])
 
-        def has_news() -> bool:
+        def has_changes() -> bool:
             return any(
                 key.startswith(prefix) and each["revision"] > after
                 for key, each in self._objects.items()
@@ -131,7 +131,7 @@
         try:
             async with self._changed:
                 await asyncio.wait_for(
-                    self._changed.wait_for(has_news),
+                    self._changed.wait_for(has_changes),
                     float(http.query["wait"]),
                 )
         except TimeoutError:
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -23,7 +23,7 @@
 HEARTBEAT: Final = 0.3
 LOAD_TIME: Final = 0.1
 # A request whose body begins so ends the engine that begins to run it.
-DEADLY: Final = b"deadly"
+POISON_PREFIX: Final = b"deadly"
 EVENT_TIME: Final = 0.01
 EVENTS: Final = 5
 
@@ -42,32 +42,32 @@
     event_time: float = EVENT_TIME
     id: str = ""
     sequence: int = 0
-    beats: int = 0
-    falls: int = 0
+    heartbeats: int = 0
+    overload_restarts: int = 0
     state: str = "ready"
-    held: dict[str, int] = field(default_factory=dict)
+    loaded: dict[str, int] = field(default_factory=dict)
     loading: set[str] = field(default_factory=set)
-    newest: dict[str, int] = field(default_factory=dict)
+    newest_versions: dict[str, int] = field(default_factory=dict)
     runs: Counter[str] = field(default_factory=Counter)
     # When each run began, and each order came, by the loop's clock.
     run_times: dict[str, float] = field(default_factory=dict)
     # For whom each run was, as it was named, and which came with a client's key.
     organisations: dict[str, list[str]] = field(default_factory=dict)
-    keyed: set[str] = field(default_factory=set)
+    requests_with_key: set[str] = field(default_factory=set)
     holders: list[tuple[str, int]] = field(default_factory=list)
     order_times: list[float] = field(default_factory=list)
     faults: Faults = field(default_factory=lambda: Faults(silent=False, errors=False))
     # When deadly requests began to run, by their bodies.
-    deadly_runs: dict[str, list[float]] = field(default_factory=dict)
+    poison_runs: dict[str, list[float]] = field(default_factory=dict)
     # What its answers say of it, and until when it wants rest, by the loop's clock.
-    says_leaving: bool = False
-    rests_until: float = 0.0
+    reports_leaving: bool = False
+    backoff_until: float = 0.0
     # It turns all requests away, and says neither why nor for how long.
-    sheds: bool = False
+    sheds_load: bool = False
     # How many requests a second it takes from all daemons, as its answers say.
     limit: float | None = None
     # Until when it writes no entry, by the loop's clock.
-    silent_until: float = 0.0
+    heartbeats_paused_until: float = 0.0
     # When each request, and each call of any kind, reached it, by the loop's clock.
     arrivals: list[float] = field(default_factory=list)
     calls: list[float] = field(default_factory=list)
@@ -80,18 +80,18 @@
         self.id = f"i-{uuid4().hex[:10]}"
         self.born = int(time.time() * 1000)
 
-    def start_again(self) -> None:
+    def restart(self) -> None:
         """Start anew under the same id: nothing of before is held or known."""
         self.born = max(self.born + 1, int(time.time() * 1000))
-        self.sequence = self.beats = 0
-        self.held.clear()
+        self.sequence = self.heartbeats = 0
+        self.loaded.clear()
         self.loading.clear()
 
-    async def keep_entry(self) -> None:
+    async def maintain_entry(self) -> None:
         """Write the own entry to the store for ever."""
         async with ClientSession() as session:
             while True:
-                if asyncio.get_running_loop().time() < self.silent_until:
+                if asyncio.get_running_loop().time() < self.heartbeats_paused_until:
                     await asyncio.sleep(HEARTBEAT)
                     continue
                 # With the store away the next heartbeat tries again.
@@ -99,12 +99,12 @@
                     await self._write_entry(session)
                 await asyncio.sleep(HEARTBEAT)
 
-    def keeps_silent_in_the_store(self, lasts: float) -> None:
+    def pause_heartbeats(self, duration: float) -> None:
         """Write no entry for some seconds."""
-        self.silent_until = asyncio.get_running_loop().time() + lasts
+        self.heartbeats_paused_until = asyncio.get_running_loop().time() + duration
 
     async def _write_entry(self, session: ClientSession) -> None:
-        self.beats += 1
+        self.heartbeats += 1
         entry = {
             "Service": self.service,
             "Address": self.address,
@@ -114,7 +114,7 @@
             "State": self.state,
             "ColdLeftMs": 0,
             "Models": self._list_models(),
-            "Sequence": self.beats,
+            "Sequence": self.heartbeats,
             "born": self.born,
         }
         body = {"Metadata": {"Name": self.id}, "Specification": entry}
@@ -128,7 +128,7 @@
     def _list_models(self) -> list[dict[str, Any]]:
         if not self.model:
             return []
-        adapters = [f"{name}@{version}" for name, version in self.held.items()]
+        adapters = [f"{name}@{version}" for name, version in self.loaded.items()]
         return [{"Name": self.model, "Version": 1, "Adapters": adapters}]
 
     async def report(self, _: web.Request) -> web.Response:
@@ -156,56 +156,56 @@
         if http.headers.get("X-Expect-Instance", self.id) != self.id:
             return self._misdirect(http)
         order = await http.json()
-        status = self._take(order)
+        status = self._apply_order(order)
         return web.json_response({}, status=status)
 
-    def _take(self, order: dict[str, Any]) -> int:
+    def _apply_order(self, order: dict[str, Any]) -> int:
         if order.get("ExpectedRevision", self.sequence) != self.sequence:
             return 409
         self.holders.append((order["Holder"], order["Fence"]))
         self.order_times.append(asyncio.get_running_loop().time())
         name = order["Adapter"]
         if order["Operation"] == "unload":
-            if self.held.pop(name, None) is None:
+            if self.loaded.pop(name, None) is None:
                 return 421
             self.sequence += 1
             return 200
-        if self.held.get(name) == self.newest.get(name, 1):
+        if self.loaded.get(name) == self.newest_versions.get(name, 1):
             return 200
         if name in self.loading:
             return 202
         self.sequence += 1
         self.loading.add(name)
-        if len(self.held.keys() | self.loading) > self.places:
-            self._fall()
+        if len(self.loaded.keys() | self.loading) > self.places:
+            self._restart_on_overload()
             return 202
         asyncio.get_running_loop().call_later(self.load_time, self._end_load, name)
         return 202
 
-    def _fall(self) -> None:
-        self.falls += 1
-        self.held.clear()
+    def _restart_on_overload(self) -> None:
+        self.overload_restarts += 1
+        self.loaded.clear()
         self.loading.clear()
 
     def _end_load(self, name: str) -> None:
         if name in self.loading:
             self.loading.discard(name)
-            self.held[name] = self.newest.get(name, 1)
+            self.loaded[name] = self.newest_versions.get(name, 1)
 
-    async def speak(self, _: web.Request, answer: web.StreamResponse) -> None:
+    async def add_notices(self, _: web.Request, answer: web.StreamResponse) -> None:
         """Put into the head of an answer what the endpoint says of itself."""
-        if self.says_leaving:
+        if self.reports_leaving:
             answer.headers["Server-Leaving"] = "1"
         if self.limit is not None:
             answer.headers["Server-Limit"] = f"{self.limit:g}"
 
-    def _turn_away(self, http: web.Request, rest: float | None) -> web.Response:
+    def _reject(self, http: web.Request, backoff: float | None) -> web.Response:
         headers = {
             "X-Not-Run": "1",
             "X-Request-Id": http.headers.get("X-Request-Id", ""),
         }
-        if rest is not None:
-            headers["Retry-After"] = f"{rest:.2f}"
+        if backoff is not None:
+            headers["Retry-After"] = f"{backoff:.2f}"
         return web.Response(status=503, headers=headers)
 
     def _misdirect(self, http: web.Request) -> web.Response:
@@ -220,15 +220,15 @@
         now = asyncio.get_running_loop().time()
         self.arrivals.append(now)
         self.calls.append(now)
-        if now < self.rests_until:
-            return self._turn_away(http, self.rests_until - now)
-        if self.sheds:
-            return self._turn_away(http, None)
+        if now < self.backoff_until:
+            return self._reject(http, self.backoff_until - now)
+        if self.sheds_load:
+            return self._reject(http, None)
         request_id = http.headers.get("X-Request-Id", "")
         adapter = http.headers.get("X-Model-Name", "").partition("/")[2]
         wrong = http.headers.get("X-Expect-Instance", self.id) != self.id
         version = http.headers.get("X-Expect-Version")
-        held = self.held.get(adapter)
+        held = self.loaded.get(adapter)
         if wrong or (adapter and held is None):
             return self._misdirect(http)
         if version is not None and version != str(held):
@@ -238,10 +238,10 @@
         self.run_times[request_id] = asyncio.get_running_loop().time()
         self.organisations[request_id] = http.headers.getall("X-Tenant-Name", [])
         if "X-Credential" in http.headers:
-            self.keyed.add(request_id)
-        if body.startswith(DEADLY):
+            self.requests_with_key.add(request_id)
+        if body.startswith(POISON_PREFIX):
             now = asyncio.get_running_loop().time()
-            self.deadly_runs.setdefault(body.decode(), []).append(now)
+            self.poison_runs.setdefault(body.decode(), []).append(now)
             self.crash()
             await asyncio.sleep(3600)
         if self.faults.get("silent"):
@@ -272,17 +272,17 @@
     """Return the application that serves an endpoint."""
     app = web.Application()
     engine.faults.add_routes(app)
-    app.on_response_prepare.append(engine.speak)
+    app.on_response_prepare.append(engine.add_notices)
     app.router.add_get("/report", engine.report)
     app.router.add_post("/order", engine.order)
     app.router.add_route("*", "/{path:.*}", engine.serve)
 
-    async def keep(_: web.Application) -> Any:
-        task = asyncio.create_task(engine.keep_entry())
+    async def run_heartbeat(_: web.Application) -> Any:
+        task = asyncio.create_task(engine.maintain_entry())
         yield
         task.cancel()
 
-    app.cleanup_ctx.append(keep)
+    app.cleanup_ctx.append(run_heartbeat)
     return app
 
 
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -25,12 +25,12 @@
 
     kind: str
     item: dict[str, Any]
-    gone: bool
+    deleted: bool
     revision: int
 
 
 @dataclass(frozen=True)
-class StoreCopy:
+class StoreSnapshot:
     """All objects of a moment, and the revision then."""
 
     objects: dict[str, dict[str, dict[str, Any]]]
@@ -45,31 +45,31 @@
         self._random = random.Random(options.get("seed", 1))
         self._objects: dict[str, dict[str, dict[str, Any]]] = {}
         self._events: list[Event] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._revision = 0
         self._changed = asyncio.Condition()
         self.calls = 0
         self.era = 0
 
-    def copy(self) -> StoreCopy:
+    def make_snapshot(self) -> StoreSnapshot:
         """Return what the store may come back from later."""
-        return StoreCopy(copy.deepcopy(self._objects), self._revision)
+        return StoreSnapshot(copy.deepcopy(self._objects), self._revision)
 
-    async def restore(self, kept: StoreCopy, moved_on: int = 0) -> None:
+    async def restore(self, snapshot: StoreSnapshot, later_changes: int = 0) -> None:
         """Come back from a copy, after which others have made some changes already."""
-        self._objects = copy.deepcopy(kept.objects)
-        self._revision = kept.revision + moved_on
-        self._events = [e for e in self._events if e.revision <= kept.revision]
+        self._objects = copy.deepcopy(snapshot.objects)
+        self._revision = snapshot.revision + later_changes
+        self._events = [e for e in self._events if e.revision <= snapshot.revision]
         self.era += 1
         async with self._changed:
             self._changed.notify_all()
 
-    async def name_era(self, _: web.Request, answer: web.StreamResponse) -> None:
+    async def add_era_header(self, _: web.Request, answer: web.StreamResponse) -> None:
         """Put the era into the head of an answer, unless it is negative."""
         if self.era >= 0:
             answer.headers["Store-Era"] = str(self.era)
 
-    async def _disturb(self) -> web.Response | None:
+    async def _apply_faults(self) -> web.Response | None:
         self.calls += 1
         if self.faults.get("slow"):
             await asyncio.sleep(self.faults.get("slow"))
@@ -79,7 +79,7 @@
 
     async def read(self, http: web.Request) -> web.Response:
         """Serve a listing, a watch or one object."""
-        refused = await self._disturb()
+        refused = await self._apply_faults()
         if refused is not None:
             return refused
         kind, _, name = http.match_info["path"].partition("/")
@@ -92,11 +92,11 @@
         return self._list(kind, http.query.get("after", ""))
 
     def _list(self, kind: str, after: str) -> web.Response:
-        found = self._objects.get(kind, {})
-        names = sorted(name for name in found if name > after)
+        by_name = self._objects.get(kind, {})
+        names = sorted(name for name in by_name if name > after)
         return web.json_response(
             {
-                "items": [found[name] for name in names[:PAGE]],
+                "items": [by_name[name] for name in names[:PAGE]],
                 "HasMore": len(names) > PAGE,
                 "CurrentRev": self._revision,
             }
@@ -104,7 +104,7 @@
 
     async def _watch(self, kind: str, revision: int, wait: float) -> web.Response:
         def is_unknown() -> bool:
-            return not self._forgotten <= revision <= self._revision
+            return not self._compacted_revision <= revision <= self._revision
 
         def list_events() -> list[Event]:
             return [e for e in self._events if e.kind == kind and e.revision > revision]
@@ -120,7 +120,7 @@
         return web.json_response(
             {
                 "events": [
-                    {"Object": event.item, "Tombstone": event.gone}
+                    {"Object": event.item, "Tombstone": event.deleted}
                     for event in list_events()
                 ],
                 "CurrentRev": self._revision,
@@ -129,7 +129,7 @@
 
     async def write(self, http: web.Request) -> web.StreamResponse:
         """Make or replace an object, if its revision is the one expected."""
-        refused = await self._disturb()
+        refused = await self._apply_faults()
         if refused is not None:
             return refused
         body = await http.json()
@@ -161,12 +161,12 @@
             "Status": None,
         }
         self._objects.setdefault(kind, {})[name] = item
-        await self._tell(Event(kind, item, False, self._revision))
+        await self._publish(Event(kind, item, False, self._revision))
         return item
 
     async def delete(self, http: web.Request) -> web.Response:
         """Remove an object."""
-        refused = await self._disturb()
+        refused = await self._apply_faults()
         if refused is not None:
             return refused
         kind, _, name = http.match_info["path"].partition("/")
@@ -178,14 +178,14 @@
         item = self._objects.get(kind, {}).pop(name, None)
         if item is not None:
             self._revision += 1
-            await self._tell(Event(kind, item, True, self._revision))
+            await self._publish(Event(kind, item, True, self._revision))
 
-    def forget(self) -> None:
+    def compact(self) -> None:
         """Forget the history: watches from before are told so."""
-        self._forgotten = self._revision
+        self._compacted_revision = self._revision
         self._events.clear()
 
-    async def _tell(self, event: Event) -> None:
+    async def _publish(self, event: Event) -> None:
         async with self._changed:
             self._events.append(event)
             self._changed.notify_all()
@@ -201,7 +201,7 @@
     """Return the application that serves a store."""
     app = web.Application()
     store.faults.add_routes(app)
-    app.on_response_prepare.append(store.name_era)
+    app.on_response_prepare.append(store.add_era_header)
     app.router.add_get("/objects/{path:.+}", store.read)
     app.router.add_post("/objects/{path:.+}", store.write)
     app.router.add_put("/objects/{path:.+}", store.write)
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -15,11 +15,11 @@
     def __init__(self, options: dict[str, Any]) -> None:
         self.faults = Faults(down=False, slow=1.0)
         self._rate = options.get("loads_per_second", 9.0)
-        self._at_once = options.get("at_once", 4)
+        self._full_speed_loads = options.get("at_once", 4)
         self._running = 0
         self._free_at = 0.0
         self.served = 0
-        self.most_at_once = 0
+        self.peak_concurrency = 0
 
     async def fetch(self, http: web.Request) -> web.Response:
         """Serve the weights of one adapter, in the time that they take."""
@@ -29,11 +29,13 @@
         self._free_at = max(now, self._free_at) + 1.0 / self._rate
         queue = self._free_at - now - 1.0 / self._rate
         self._running += 1
-        self.most_at_once = max(self.most_at_once, self._running)
+        self.peak_concurrency = max(self.peak_concurrency, self._running)
         try:
-            share = max(1.0, self._running / self._at_once)
-            take = self._at_once / self._rate * share * self.faults.get("slow")
-            await asyncio.sleep(max(queue, take))
+            slowdown = max(1.0, self._running / self._full_speed_loads)
+            duration = (
+                self._full_speed_loads / self._rate * slowdown * self.faults.get("slow")
+            )
+            await asyncio.sleep(max(queue, duration))
         finally:
             self._running -= 1
         self.served += 1
@@ -42,7 +44,7 @@
     async def show_counts(self, http: web.Request) -> web.Response:
         """Show what was served."""
         return web.json_response(
-            {"served": self.served, "most_at_once": self.most_at_once}
+            {"served": self.served, "most_at_once": self.peak_concurrency}
         )
 
 
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -305,7 +305,7 @@
         self.leaving = True
         self.leaving_since = now
 
-    def begin(self, request: str, adapter: str, now: float) -> Run:
+    def start_run(self, request: str, adapter: str, now: float) -> Run:
         if self.leaving and now > self.leaving_since + 3.0:
             self.violations.append(f"{self.name} got {request} while leaving")
         run = Run(request, adapter, now)
@@ -313,7 +313,7 @@
         self.running.append(run)
         return run
 
-    def end(self, run: Run) -> None:
+    def end_run(self, run: Run) -> None:
         if run in self.running:
             self.running.remove(run)
 
@@ -360,10 +360,10 @@
                 await self._view.gate.pass_through()
                 yield part
         finally:
-            self._endpoint.end(self._run)
+            self._endpoint.end_run(self._run)
 
     async def close(self) -> None:
-        self._endpoint.end(self._run)
+        self._endpoint.end_run(self._run)
 
 
 class EndpointView:
@@ -392,7 +392,7 @@
         await self.wait_while_hung(endpoint)
         return endpoint
 
-    def _take_fence(self, endpoint: FakeEndpoint, token: int) -> bool:
+    def _apply_fence(self, endpoint: FakeEndpoint, token: int) -> bool:
         if endpoint.checks_fence and token < endpoint.fence:
             endpoint.fenced_off += 1
             return False
@@ -409,7 +409,7 @@
             endpoint = await self._reach(url)
         except NotStarted:
             return OrderOutcome.FAILED
-        fresh = self._take_fence(endpoint, token)
+        fresh = self._apply_fence(endpoint, token)
         outcome = OrderOutcome.DONE if fresh else OrderOutcome.FENCED_OFF
         return await self._answer(outcome)
 
@@ -418,7 +418,7 @@
             endpoint = await self._reach(url)
         except NotStarted:
             return OrderOutcome.FAILED
-        if not self._take_fence(endpoint, token):
+        if not self._apply_fence(endpoint, token):
             return await self._answer(OrderOutcome.FENCED_OFF)
         name, instance = str(adapter), endpoint.instance
         if len(endpoint.loaded | endpoint.loading | {name}) > endpoint.slots:
@@ -440,7 +440,7 @@
             endpoint = await self._reach(url)
         except NotStarted:
             return OrderOutcome.FAILED
-        if not self._take_fence(endpoint, token):
+        if not self._apply_fence(endpoint, token):
             return await self._answer(OrderOutcome.FENCED_OFF)
         in_use = [run for run in endpoint.running if run.adapter == str(adapter)]
         for run in in_use:
@@ -481,13 +481,20 @@
             raise EndpointRefused("not_loaded")
         loop = asyncio.get_running_loop()
         request = attempt.attempt.partition("/")[0]
-        run = endpoint.begin(request, adapter, loop.time())
-        named = f"{attempt.adapter.adapter}@99" if endpoint.wrong_version else adapter
-        head = AnswerHead(attempt=attempt.attempt, adapter=named)
+        run = endpoint.start_run(request, adapter, loop.time())
+        served_version = (
+            f"{attempt.adapter.adapter}@99" if endpoint.wrong_version else adapter
+        )
+        head = AnswerHead(attempt=attempt.attempt, adapter=served_version)
         prompt = str(attempt.payload["prompt"])
         done = len(attempt.resume_token_ids)
         parts = [
-            make_event({}, attempt.attempt, named, make_token(named, prompt, at))
+            make_event(
+                {},
+                attempt.attempt,
+                served_version,
+                make_token(served_version, prompt, at),
+            )
             for at in range(done, int(attempt.payload.get("max_tokens", 6)))
         ]
         if not endpoint.no_end_mark:
@@ -498,14 +505,14 @@
         endpoint = await self._reach(url)
         self._refuse_if_leaving(endpoint, refuses=True)
         loop = asyncio.get_running_loop()
-        run = endpoint.begin(call.attempt.partition("/")[0], "", loop.time())
+        run = endpoint.start_run(call.attempt.partition("/")[0], "", loop.time())
         try:
             await asyncio.sleep(endpoint.token_time)
             await self.wait_while_hung(endpoint)
             if run.killed or endpoint.cut_streams:
                 raise AttemptLost("cut")
         except BaseException:
-            endpoint.end(run)
+            endpoint.end_run(run)
             raise
         head = AnswerHead(attempt=call.attempt, adapter="", status=200, headers={})
         return FakeAnswer(self, endpoint, run, head, [b"ok"])
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -99,7 +99,7 @@
 
 
 @dataclass
-class Sent:
+class SentRequest:
     """A request as a caller sees it: what was asked and what came back."""
 
     request: str
@@ -110,14 +110,14 @@
     done: bool = False
     refusal: Refusal | None = None
     text: str = ""
-    named: str = ""
-    gone: bool = False
+    served_version: str = ""
+    lost: bool = False
     at: float = 0.0
     ended_at: float = 0.0
 
     @property
     def ended(self) -> bool:
-        return self.done or self.gone or self.refusal is not None
+        return self.done or self.lost or self.refusal is not None
 
 
 class Node:
@@ -148,12 +148,12 @@
     def _hook_events(self) -> None:
         add = self.runtime.world.events.add
 
-        def add_and_tell(part: str, what: str, **more: str) -> Event:
+        def add_and_notify(part: str, what: str, **more: str) -> Event:
             event = add(part, what, **more)
             self.fleet.watch(self, event)
             return event
 
-        self.runtime.world.events.add = add_and_tell  # type: ignore[method-assign]
+        self.runtime.world.events.add = add_and_notify  # type: ignore[method-assign]
 
     def start(self) -> None:
         self.runtime.start()
@@ -211,7 +211,7 @@
     engines: int = 3
     services: int = 1
     adapters: int = 6
-    unchecked: int = 1
+    unfenced: int = 1
     data_centres: int = 2
     overrides: dict[str, Any] = field(default_factory=dict)
 
@@ -223,7 +223,7 @@
         self.vms = FakeVms(self.faults)
         self.endpoints: dict[str, FakeEndpoint] = {}
         self.nodes: list[Node] = []
-        self.sent: list[Sent] = []
+        self.sent: list[SentRequest] = []
         self.watchers: list[Watcher] = []
         self.tasks: set[asyncio.Task[None]] = set()
         self.serial = 0
@@ -276,7 +276,7 @@
     async def start(self) -> None:
         for number in range(self.engines):
             name = f"engine-{number}"
-            checks = number >= self.unchecked
+            checks = number >= self.unfenced
             self.endpoints[name] = FakeEndpoint(name, checks_fence=checks)
             await self.put_config(self._engine(name, number, checks), "endpoint", name)
         for number in range(self.services):
@@ -348,11 +348,11 @@
         deadline: float = 15.0,
         stream: bool = True,
         service: bool = False,
-    ) -> Sent:
+    ) -> SentRequest:
         """Have a caller send a request to a daemon."""
         self.serial += 1
         node = self.nodes[number]
-        sent = Sent(
+        sent = SentRequest(
             request=request or f"r{self.serial}",
             vm=node.vm,
             adapter=adapter,
@@ -369,15 +369,20 @@
         task.add_done_callback(lambda ended: self._record_end(sent, ended))
         return sent
 
-    def _record_end(self, sent: Sent, task: "asyncio.Task[None]") -> None:
+    def _record_end(self, sent: SentRequest, task: "asyncio.Task[None]") -> None:
         """A task that is cancelled before its first step never runs at all."""
         if task.cancelled():
-            sent.gone = True
+            sent.lost = True
         elif task.exception() is not None:
             self.problems.append(f"{sent.request}: {task.exception()!r}")
 
     async def _serve(
-        self, node: Node, sent: Sent, deadline: float, stream: bool, service: bool
+        self,
+        node: Node,
+        sent: SentRequest,
+        deadline: float,
+        stream: bool,
+        service: bool,
     ) -> None:
         sink = Sink(is_buffered=not stream)
         try:
@@ -385,13 +390,13 @@
             result = await self._read_and_serve(node, sent, sink, deadline, service)
             await node.gate.pass_through()
         except asyncio.CancelledError:
-            sent.gone = True
+            sent.lost = True
             return
         sent.ended_at = asyncio.get_running_loop().time()
         if isinstance(result, Err):
             sent.refusal = result.err_value
             return
-        sent.named = sink.head.adapter if sink.head else ""
+        sent.served_version = sink.head.adapter if sink.head else ""
         if not service:
             sent.text = "".join(
                 choice.text
@@ -401,7 +406,7 @@
         sent.done = True
 
     async def _read_and_serve(
-        self, node: Node, sent: Sent, sink: Sink, deadline: float, service: bool
+        self, node: Node, sent: SentRequest, sink: Sink, deadline: float, service: bool
     ) -> Any:
         world, now = node.runtime.world, node.runtime.clock()
         headers = {**HEADERS, "X-Request-Id": sent.request}
@@ -457,7 +462,7 @@
                 problems.append(f"{node.vm}: a task failed")
         return problems
 
-    def _check_sent(self, sent: Sent, runs: int) -> list[str]:
+    def _check_sent(self, sent: SentRequest, runs: int) -> list[str]:
         problems = []
         if not sent.repeatable and runs > 1:
             problems.append(f"{sent.request} is not repeatable and ran {runs} times")
@@ -465,14 +470,15 @@
         repeated = sum(each.request == sent.request for each in self.sent) > 1
         if refusal and refusal.outcome is Outcome.NOT_RUN and runs and not repeated:
             problems.append(f"{sent.request} was told not_run but ran {runs} times")
-        if sent.done and sent.named:
+        if sent.done and sent.served_version:
             base = sent.adapter.partition("@")[0]
-            named = sent.named
+            served_version = sent.served_version
             text = "".join(
-                f" {WORDS[make_token(named, sent.prompt, at)]}" for at in range(TOKENS)
+                f" {WORDS[make_token(served_version, sent.prompt, at)]}"
+                for at in range(TOKENS)
             )
-            if named.partition("@")[0] != base:
-                problems.append(f"{sent.request} was answered by {named}")
+            if served_version.partition("@")[0] != base:
+                problems.append(f"{sent.request} was answered by {served_version}")
             if sent.text != text:
                 problems.append(f"{sent.request} got {sent.text!r}, not {text!r}")
         return problems
--- a/tests/poisonrig.py
+++ b/tests/poisonrig.py
@@ -8,7 +8,7 @@
 
 from kestreltally.fleet_daemon import FleetDaemon
 from kestreltally.poison.register import SETTLE_TIME
-from standins.platform_engine import DEADLY, PlatformEngine, make_engine_app
+from standins.platform_engine import POISON_PREFIX, PlatformEngine, make_engine_app
 from standins.platform_store import make_store_app
 from tests.entryrig import Reply
 from tests.ports import reserve_port
@@ -63,7 +63,7 @@
         await asyncio.sleep(DOWN_TIME)
         await self._rig.store.drop("servers", self.engine.id)
         self.engine.__post_init__()
-        self.engine.start_again()
+        self.engine.restart()
         await self.start()
 
     async def stop(self) -> None:
@@ -172,4 +172,4 @@
 
 
 def make_deadly(text: str = "") -> bytes:
-    return DEADLY + text.encode()
+    return POISON_PREFIX + text.encode()
--- a/tests/policies.py
+++ b/tests/policies.py
@@ -56,7 +56,7 @@
             engines=9,
             services=0,
             adapters=ADAPTERS,
-            unchecked=0,
+            unfenced=0,
             data_centres=3,
             overrides={"placement": {"policy": policy}},
         )
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -25,11 +25,11 @@
 ADAPTERS = 30
 STEP_TIME = 0.06
 WARM_UP = 3.0
-SETTLE = 45.0
+RECOVERY_TIME = 45.0
 STEPS_PER_RUN = 2_000
 PROBE_WAIT = 15.0
-LONGEST_FAULT = 6.0
-SHRINK_TRIES = 24
+MAX_FAULT_DURATION = 6.0
+MAX_SHRINK_ATTEMPTS = 24
 NO_EVENT = Event(0.0, "", 0, 0, "", "")
 
 
@@ -41,7 +41,7 @@
     target: int
     adapter: int
     fault: str
-    lasts: float
+    duration: float
     draw: int
 
 
@@ -56,7 +56,7 @@
             target=random.randrange(DAEMONS),
             adapter=min(int(random.expovariate(0.25)), ADAPTERS - 1),
             fault=random.choice(sorted(FAULTS)),
-            lasts=random.uniform(0.2, LONGEST_FAULT),
+            duration=random.uniform(0.2, MAX_FAULT_DURATION),
             draw=random.randrange(2**32),
         )
         for _ in range(steps)
@@ -65,12 +65,12 @@
 
 @dataclass(frozen=True)
 class SoakResult:
-    """What came of a run; ``gone`` requests were at a daemon that was killed."""
+    """What came of a run; ``lost`` requests were at a daemon that was killed."""
 
     problems: tuple[str, ...]
     sent: int
     done: int
-    gone: int
+    lost: int
 
 
 class SoakRun:
@@ -84,23 +84,23 @@
             engines=ENGINES,
             services=SERVICES,
             adapters=ADAPTERS,
-            unchecked=2,
+            unfenced=2,
             data_centres=3,
         )
-        self.last_once = ""
+        self.last_unrepeatable = ""
         self.last_adapter = 0
         self.version = 1
-        self.faulty = False
+        self.fault_active = False
 
     async def run(self) -> "SoakResult":
         fleet = self.fleet
         await fleet.start()
         await fleet.settle(WARM_UP)
         for action in self.schedule:
-            await self.take(action)
+            await self.perform(action)
             await fleet.settle(STEP_TIME)
         await fleet.heal()
-        await fleet.settle(SETTLE)
+        await fleet.settle(RECOVERY_TIME)
         probes = [fleet.send(n, f"a{n}", deadline=12.0) for n in range(DAEMONS)]
         await fleet.settle(PROBE_WAIT)
         problems = fleet.list_problems()
@@ -111,15 +111,15 @@
             problems=tuple(problems),
             sent=len(fleet.sent),
             done=sum(sent.done for sent in fleet.sent),
-            gone=sum(sent.gone for sent in fleet.sent),
+            lost=sum(sent.lost for sent in fleet.sent),
         )
 
-    async def take(self, action: Action) -> None:
+    async def perform(self, action: Action) -> None:
         fleet = self.fleet
         node = fleet.nodes[action.target]
         adapter = f"a{action.adapter}"
         if action.kind == "fault":
-            await self.make_fault(action)
+            await self.inject_fault(action)
         elif action.kind == "config":
             await self.change_config(action)
         elif not node.is_up or node.stopping:
@@ -128,38 +128,38 @@
             await fleet.replace(action.target)
         elif action.kind == "stop":
             fleet.spawn(self.stop_planned(action.target))
-        elif action.kind == "repeat" and self.last_once:
+        elif action.kind == "repeat" and self.last_unrepeatable:
             fleet.send(
                 action.target,
                 f"a{self.last_adapter}",
                 repeatable=False,
-                request=self.last_once,
+                request=self.last_unrepeatable,
             )
         else:
-            once = action.kind == "once" or (action.kind == "service")
+            unrepeatable = action.kind == "once" or (action.kind == "service")
             sent = fleet.send(
                 action.target,
                 adapter,
-                repeatable=not once,
+                repeatable=not unrepeatable,
                 stream=action.draw % 2 == 0,
                 service=action.kind == "service",
             )
             if action.kind == "once":
-                self.last_once, self.last_adapter = sent.request, action.adapter
+                self.last_unrepeatable, self.last_adapter = sent.request, action.adapter
 
-    async def make_fault(self, action: Action) -> None:
+    async def inject_fault(self, action: Action) -> None:
         """Make a fault, unless another is still on, and mend it after a while."""
         node = self.fleet.nodes[action.target]
-        if self.faulty or not node.is_up:
+        if self.fault_active or not node.is_up:
             return
-        self.faulty = True
+        self.fault_active = True
         await FAULTS[action.fault](self.fleet, node, NO_EVENT)
-        self.fleet.spawn(self.mend_later(action.lasts))
+        self.fleet.spawn(self.clear_faults_later(action.duration))
 
-    async def mend_later(self, seconds: float) -> None:
+    async def clear_faults_later(self, seconds: float) -> None:
         await asyncio.sleep(seconds)
         await self.fleet.heal()
-        self.faulty = False
+        self.fault_active = False
 
     async def change_config(self, action: Action) -> None:
         if self.fleet.faults.store_down:
@@ -194,15 +194,15 @@
 
 def shrink(seed: int, schedule: list[Action]) -> list[Action]:
     """Return the shortest schedule found, by leaving out ever smaller parts."""
-    size, tries = len(schedule) // 2, 0
-    while size >= 1 and tries < SHRINK_TRIES:
+    size, attempts = len(schedule) // 2, 0
+    while size >= 1 and attempts < MAX_SHRINK_ATTEMPTS:
         for at in range(0, len(schedule), size):
             shorter = schedule[:at] + schedule[at + size :]
-            tries += 1
+            attempts += 1
             if shorter and run_schedule(seed, shorter).problems:
                 schedule = shorter
                 break
-            if tries >= SHRINK_TRIES:
+            if attempts >= MAX_SHRINK_ATTEMPTS:
                 break
         else:
             size //= 2
@@ -232,7 +232,7 @@
             click.echo(
                 f"{finished} of {len(seeds)}: seed {number} {state}; requests "
                 f"{result.sent}, done {result.done}, gone with a killed daemon "
-                f"{result.gone}, refused {result.sent - result.done - result.gone}"
+                f"{result.lost}, refused {result.sent - result.done - result.lost}"
             )
             violations += len(problems)
             for problem in problems[:5]:
--- a/tests/test_eras.py
+++ b/tests/test_eras.py
@@ -26,7 +26,7 @@
 
 async def restore_recent_backup(rig: FleetRig) -> None:
     """Restore the store from a backup of some seconds ago."""
-    backup = rig.store.copy()
+    backup = rig.store.make_snapshot()
     await asyncio.sleep(LOST_SECONDS)
     await rig.store.restore(backup)
 
@@ -58,19 +58,19 @@
 
 async def test_configuration_with_reused_revision_comes_into_force() -> None:
     async with run_fleet() as rig:
-        backup = rig.store.copy()
+        backup = rig.store.make_snapshot()
         await asyncio.sleep(LOST_SECONDS)
         # The operator has written already, and other writes have raised the revisions,
         # so no daemon sees a lower revision than the one that it knows.
         backup.objects["config"]["main"]["Specification"] = make_configuration(7, "/b/")
-        await rig.store.restore(backup, moved_on=200)
+        await rig.store.restore(backup, later_changes=200)
         for vm in rig.daemons:
             await rig.ask_until(vm, "/b/x", 200, 2.0)
 
 
 async def test_older_configuration_does_not_replace_newer_one() -> None:
     async with run_fleet() as rig:
-        backup = rig.store.copy()
+        backup = rig.store.make_snapshot()
         await rig.store.put("config", "main", make_configuration(4, "/b/"))
         for vm in rig.daemons:
             await rig.ask_until(vm, "/b/x", 200, 2.0)
@@ -83,11 +83,11 @@
 
 async def test_endpoints_missing_in_backup_stay_in_use() -> None:
     async with run_fleet() as rig:
-        backup = rig.store.copy()
+        backup = rig.store.make_snapshot()
         backup.objects["servers"].clear()
         assert (await rig.ask("north-1", "/m/x", "a1", "begin")).whole
         for engine in rig.engines:
-            engine.keeps_silent_in_the_store(1.5)
+            engine.pause_heartbeats(1.5)
         await rig.store.restore(backup)
         for number in range(10):
             await asyncio.sleep(0.1)
@@ -99,10 +99,10 @@
 async def test_leaving_endpoint_stays_unused_after_restore() -> None:
     async with run_fleet() as rig:
         first, second = [each for each in rig.engines if not each.model]
-        backup = rig.store.copy()
+        backup = rig.store.make_snapshot()
         first.state = "draining"
         await asyncio.sleep(1.2)
-        first.keeps_silent_in_the_store(1.5)
+        first.pause_heartbeats(1.5)
         before = sum(first.runs.values())
         await rig.store.restore(backup)
         for number in range(12):
@@ -119,7 +119,7 @@
 
     The operators repeat the write that the backup lacks after a second.
     """
-    backup = rig.store.copy()
+    backup = rig.store.make_snapshot()
     newer = make_configuration(4, "/b/")
     await rig.store.put("config", "main", newer)
     for each in rig.daemons:
--- a/tests/test_faultsoak.py
+++ b/tests/test_faultsoak.py
@@ -4,19 +4,19 @@
 
 import pytest
 
+from bench.faultsoak.checker import Checker
 from bench.faultsoak.mutations import MUTATIONS, Mutation
 from bench.faultsoak.plan import Action, Step, make_plan
 from bench.faultsoak.proxy import ProxyMode
 from bench.faultsoak.run import PERFORMERS, Soak, run_plan
 from bench.faultsoak.system import SoakSystem
-from bench.faultsoak.witness import Witness
 from tests.ports import claim_ports
 
 DAEMONS = 3
 
 
-def make_step(at: float, lasts: float, action: Action, target: int = 0) -> Step:
-    return Step(at, lasts, action, target, ProxyMode.RESET)
+def make_step(at: float, duration: float, action: Action, target: int = 0) -> Step:
+    return Step(at, duration, action, target, ProxyMode.RESET)
 
 
 # What a seed that failed came down to, and its cause.
@@ -48,16 +48,16 @@
 async def test_a_plan_that_failed_once_breaks_no_promise(
     name: str, tmp_path: Path
 ) -> None:
-    witness = await run_plan(
+    checker = await run_plan(
         SoakSystem(tmp_path, claim_ports()), REGRESSIONS[name], DAEMONS
     )
-    assert witness.problems == []
+    assert checker.problems == []
 
 
 async def test_no_engine_is_crashed_while_all_are_down(tmp_path: Path) -> None:
     # Seed 309 of 15 s: its two engines were down when a third crash was due.
     system = SoakSystem(tmp_path, claim_ports())
-    soak = Soak(system, Witness(system))
+    soak = Soak(system, Checker(system))
     await PERFORMERS[Action.ENGINE_CRASH](
         soak, make_step(0.0, 0.0, Action.ENGINE_CRASH)
     )
@@ -65,11 +65,11 @@
 
 
 async def test_a_short_soak_breaks_no_promise(tmp_path: Path) -> None:
-    witness = await run_plan(
+    checker = await run_plan(
         SoakSystem(tmp_path, claim_ports()), make_plan(1, 6.0), DAEMONS
     )
-    assert witness.problems == []
-    assert sum(ask.status == 200 for ask in witness.asks) > 50
+    assert checker.problems == []
+    assert sum(record.status == 200 for record in checker.records) > 50
 
 
 async def test_a_request_that_ends_engines_is_stopped_though_daemons_are_killed(
@@ -80,7 +80,7 @@
         *(make_step(2.0 + 2.5 * n, 0.0, Action.KILL, n) for n in range(3)),
     ]
     system = SoakSystem(tmp_path, claim_ports())
-    witness = await run_plan(system, plan, DAEMONS)
-    assert witness.problems == []
-    ended = [e for e in system.every_endpoint if e.engine.deadly_runs]
+    checker = await run_plan(system, plan, DAEMONS)
+    assert checker.problems == []
+    ended = [e for e in system.all_endpoints if e.engine.poison_runs]
     assert 3 <= len(ended) <= 5
--- a/tests/test_fleet_daemon.py
+++ b/tests/test_fleet_daemon.py
@@ -214,7 +214,7 @@
             if reply.status == 200:
                 assert reply.whole and read_versions(reply) == {f"{name}@1"}
         assert sum(reply.status == 200 for reply in replies) >= 8
-        assert all(each.falls == 0 for each in rig.engines)
+        assert all(each.overload_restarts == 0 for each in rig.engines)
         assert all(max(each.runs.values(), default=1) == 1 for each in rig.engines)
         orders = [set(each.holders) for each in rig.engines if each.model]
         assert all(len(holders) == 1 for holders in orders)
@@ -254,7 +254,7 @@
             assert (await rig.ask(vm, "/a/x")).status == 404
         assert read_versions(await rig.ask("north-1", "/m/x", "a1")) == {"a1@1"}
         for engine in rig.engines:
-            engine.newest["a1"] = 2
+            engine.newest_versions["a1"] = 2
         version = {"Model": MODEL, "Adapter": "a1", "Version": 2}
         await rig.store.put("versions", f"{MODEL}.a1", version)
         await asyncio.sleep(1.5)
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -117,13 +117,13 @@
         assert (await rig.ask("north-1", "/m/x", "a1")).whole
         for engine in rig.engines:
             if engine.model:
-                engine.start_again()
+                engine.restart()
         await asyncio.sleep(1.2)
         engines = {engine.id: engine for engine in rig.engines}
         for daemon in rig.daemons.values():
             for row in daemon._fleet.endpoints.values():
                 engine = engines[row.id]
                 assert row.start_time_ms == engine.born
-                assert {k.adapter for k in row.weights} <= {"", *engine.held}
+                assert {k.adapter for k in row.weights} <= {"", *engine.loaded}
         reply = await rig.ask("south-1", "/m/x", "a1", "q2")
         assert reply.status == 200 and reply.whole
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -74,7 +74,7 @@
 
 async def find_holder(rig: FleetRig, adapter: str) -> PlatformEngine:
     assert (await rig.ask("north-1", "/m/x", adapter, "begin")).whole
-    (engine,) = [each for each in rig.engines if adapter in each.held]
+    (engine,) = [each for each in rig.engines if adapter in each.loaded]
     return engine
 
 
--- a/tests/test_notices.py
+++ b/tests/test_notices.py
@@ -138,9 +138,9 @@
 async def test_a_leaving_engine_gets_no_requests_during_a_store_outage() -> None:
     async with run_fleet() as rig:
         assert (await rig.ask("north-1", "/m/x", "a1", "begin")).whole
-        (engine,) = [each for each in rig.engines if "a1" in each.held]
+        (engine,) = [each for each in rig.engines if "a1" in each.loaded]
         rig.store.faults.set(down=True)
-        engine.says_leaving = True
+        engine.reports_leaving = True
         loop = asyncio.get_running_loop()
         announced_at = loop.time()
         asked = (send_for_a_while(rig, vm, "a1", vm) for vm in rig.daemons)
@@ -155,10 +155,10 @@
 async def test_adapters_of_an_engine_backing_off_are_loaded_elsewhere() -> None:
     async with run_fleet() as rig:
         assert (await rig.ask("north-1", "/m/x", "a1", "begin")).whole
-        (engine,) = [each for each in rig.engines if "a1" in each.held]
+        (engine,) = [each for each in rig.engines if "a1" in each.loaded]
         assert engine.model == MODEL
         backoff_from = asyncio.get_running_loop().time()
-        engine.rests_until = backoff_from + 5.0
+        engine.backoff_until = backoff_from + 5.0
         asked = (send_for_a_while(rig, vm, "a1", vm) for vm in rig.daemons)
         missed = await asyncio.gather(*asked)
         # One request of each daemon is rejected with the backoff.
@@ -172,8 +172,8 @@
     # until the retry budget was used up.
     async with run_fleet() as rig:
         assert (await rig.ask("north-1", "/m/x", "a1", "begin")).whole
-        (engine,) = [each for each in rig.engines if "a1" in each.held]
-        engine.sheds = True
+        (engine,) = [each for each in rig.engines if "a1" in each.loaded]
+        engine.sheds_load = True
         began = asyncio.get_running_loop().time()
         asked = (send_for_a_while(rig, vm, "a1", vm) for vm in rig.daemons)
         missed = await asyncio.gather(*asked)
@@ -209,7 +209,7 @@
         await rig.add_daemons_up_to(8)
         await asyncio.sleep(1.0)
         engine = next(each for each in rig.engines if not each.model)
-        engine.says_leaving = True
+        engine.reports_leaving = True
         rig.store.faults.set(down=True)
         loop = asyncio.get_running_loop()
         while not any(_is_leaving(rig, vm, engine.id) for vm in rig.daemons):
--- a/tests/test_poison.py
+++ b/tests/test_poison.py
@@ -111,11 +111,11 @@
 async def test_stopped_requests_are_written_again_after_a_store_restore() -> None:
     # The store is restored from a backup, and then all daemons fail at once.
     async with run_poison_fleet() as rig:
-        kept = rig.store.copy()
+        kept = rig.store.make_snapshot()
         await get_request_stopped(rig)
         await asyncio.sleep(1.0)
         assert rig.store._objects["kestreltally-poison"]
-        kept.objects["servers"] = rig.store.copy().objects["servers"]
+        kept.objects["servers"] = rig.store.make_snapshot().objects["servers"]
         await rig.store.restore(kept)
         await asyncio.sleep(2.5)
         listed = rig.store._objects["kestreltally-poison"].values()
--- a/tests/test_resume.py
+++ b/tests/test_resume.py
@@ -5,12 +5,12 @@
 import pytest
 
 from kestreltally.requests.relay import Relay
-from tests.fleet import Fleet, Sent, run_virtual
+from tests.fleet import Fleet, SentRequest, run_virtual
 
 
-async def interrupt_answer(stream: bool) -> tuple[Fleet, Sent]:
+async def interrupt_answer(stream: bool) -> tuple[Fleet, SentRequest]:
     """Kill the running request in the middle of an answer."""
-    fleet = Fleet(unchecked=0)
+    fleet = Fleet(unfenced=0)
     await fleet.start()
     await fleet.settle(4.0)
     await warm_up(fleet)
@@ -32,7 +32,7 @@
     await fleet.settle(1.5)
 
 
-def serve_interrupted(stream: bool, resume: bool) -> Sent:
+def serve_interrupted(stream: bool, resume: bool) -> SentRequest:
     if resume:
         fleet, sent = run_virtual(interrupt_answer(stream))
     else:
--- a/tests/test_store_eras.py
+++ b/tests/test_store_eras.py
@@ -57,7 +57,7 @@
 async def test_condition_of_older_era_is_not_sent() -> None:
     async with StoreRig() as rig:
         mine = await rig.client.create("k", "n", {"by": "me"})
-        backup = rig.server.copy()
+        backup = rig.server.make_snapshot()
         await rig.server.restore(backup)
         assert await rig.client.read("k", "n")
         assert rig.client.restored_at > 0
@@ -72,7 +72,7 @@
 async def test_write_over_another_object_is_rejected() -> None:
     async with StoreRig() as rig:
         await rig.client.create("k", "other", {})
-        backup = rig.server.copy()
+        backup = rig.server.make_snapshot()
         mine = await rig.client.create("k", "n", {"by": "me"})
         # The revision is assigned again, to another writer's object of the same name.
         await rig.server.restore(backup)
@@ -83,7 +83,7 @@
 
 async def test_conflict_reports_revision_of_new_era() -> None:
     async with StoreRig() as rig:
-        backup = rig.server.copy()
+        backup = rig.server.make_snapshot()
         mine = await rig.client.create("k", "n", {"by": "me"})
         await rig.server.restore(backup)
         for number in range(3):
@@ -100,7 +100,7 @@
         await rig.client.list_objects("k")
         assert rig.client.era == 0
         assert rig.client.restored_at == float("-inf")
-        await rig.server.restore(rig.server.copy())
+        await rig.server.restore(rig.server.make_snapshot())
         await rig.client.list_objects("k")
         assert rig.client.era == 1
         assert rig.client.restored_at > 0
--- a/tests/test_tombstones.py
+++ b/tests/test_tombstones.py
@@ -32,7 +32,7 @@
         leader._store._base = f"http://127.0.0.1:{reserve_port()}/objects"
         await asyncio.sleep(0.3)
         (victim,) = [e for e in rig.engines if e.zone == "north" and not e.model]
-        victim.keeps_silent_in_the_store(60.0)
+        victim.pause_heartbeats(60.0)
         await rig.store.drop("servers", victim.id)
         removed_at = asyncio.get_running_loop().time()
         await asyncio.sleep(1.5)
