--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,4 +1,4 @@
-"""Carry the measured slopes to the size of two years from now."""
+"""Extrapolate the measured slopes to the fleet size expected in two years."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Slope:
-    """A straight line through measured points; ``residual`` is a share."""
+    """A line fitted to measured points; ``residual`` is a fraction."""
 
     name: str
     unit: str
@@ -45,13 +45,13 @@
     points: Sequence[tuple[float, float]]
 
     def at(self, size: float) -> float:
-        """Return the value that the line gives at a size."""
+        """Return the value of the line at a size."""
         return self.base + self.slope * size
 
 
 @dataclass(frozen=True)
 class Slopes:
-    """All that was measured."""
+    """All measured slopes and costs."""
 
     tick_member: Slope
     tick_adapter: Slope
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True)
 class CostLine:
-    """One line of a sum."""
+    """One term of a sum, with a note on how it is computed."""
 
     description: str
     value: float
@@ -99,7 +99,7 @@
 
 
 def list_cpu_lines(s: Slopes) -> list[CostLine]:
-    """Return one daemon's processor time for control, in per cent of a core."""
+    """Return one daemon's CPU time for control, in per cent of a core."""
     percent = 100 * MICRO
     per_daemon = REQUESTS / DAEMONS
     membership_changes = (FAILURES_PER_DAY * 3 + REPLACEMENTS_PER_DAY * 3) / DAY
@@ -146,7 +146,7 @@
 
 
 def list_byte_lines(s: Slopes) -> list[CostLine]:
-    """Return one daemon's bytes/s for control, sent and received together."""
+    """Return one daemon's bytes/s for control, sent plus received."""
     per_daemon = REQUESTS / DAEMONS
     same_data_centre = DAEMONS / DATA_CENTRES
     return [
@@ -185,7 +185,7 @@
 
 
 def list_write_lines() -> list[CostLine]:
-    """Return the object API's writes a second, in all, by cause."""
+    """Return the object API's total writes per second by cause."""
     handovers = REPLACEMENTS_PER_DAY * 3 * 2
     takeovers = FAILURES_PER_DAY * 3 * 2
     return [
@@ -202,7 +202,7 @@
 
 
 def list_read_lines() -> list[CostLine]:
-    """Return the object API's reads a second, in all, by cause; a watch is one."""
+    """Return the object API's total reads per second by cause; a watch is one read."""
     changes = (REPLACEMENTS_PER_DAY + FAILURES_PER_DAY) * 3 * 2 / DAY
     watchers = DATA_CENTRES * WATCHERS_PER_DATA_CENTRE
     return [
@@ -229,7 +229,7 @@
 
 
 def format_sum(title: str, unit: str, budget: float, lines: list[CostLine]) -> str:
-    """Return a table of a sum with its margin."""
+    """Return a table of the terms of a sum, with the margin to its budget."""
     total = sum(line.value for line in lines)
     rows = [f"| {line.description} | {line.value:.4g} | {line.how} |" for line in lines]
     margin = budget / total
@@ -248,7 +248,7 @@
 
 
 def format_fits(slopes: Slopes) -> str:
-    """Return the table of the measured lines."""
+    """Return the table of the fitted lines and single costs."""
     rows = []
     for each in slopes.list_fits():
         points = ", ".join(f"{x:g}: {y:.4g}" for x, y in each.points)
@@ -288,7 +288,7 @@
 
 
 def format_page_tables(slopes: Slopes) -> str:
-    """Return the tables of docs/CAPACITY.md: the deciding sums first."""
+    """Return the tables of docs/CAPACITY.md, with the limiting sums first."""
     return "\n".join(
         [
             format_sum(
--- a/bench/chaos.py
+++ b/bench/chaos.py
@@ -1,9 +1,10 @@
-"""True processes under load and faults, checked from outside.
+"""Daemon processes under load and faults, checked from outside.
 
-Six daemons and the stand-ins; daemons are killed, stopped past the lease and let go
-on, replaced one after the other; engines restart and hang; the object API and the
-weight store go down; popularity flips. Every answer is checked by its adapter,
-version and prompt, every request id against the endpoints' own counts of runs.
+Runs six daemons and the stand-ins. Daemons are killed, suspended for longer than the
+lease, and replaced one after the other; engines restart and hang; the object API and
+the weight store become unavailable; adapter popularity shifts. Each answer is checked
+against its adapter, version and prompt, and each request id against the endpoints'
+counts of runs.
 """
 
 import asyncio
@@ -41,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """One request as its caller saw it."""
+    """Result of one request as seen by its caller."""
 
     request: str
     outcome: str
@@ -54,7 +55,7 @@
 
 
 class Load:
-    """Callers that send to any daemon that is ready, as a balancer would."""
+    """Callers that send to random ready daemons, as through a load balancer."""
 
     def __init__(self, cluster: Cluster, http: ClientSession, rate: float) -> None:
         self._cluster = cluster
@@ -69,7 +70,7 @@
         self.running = True
 
     async def run(self) -> None:
-        """Send at the rate until told to end."""
+        """Send at the rate until ``running`` is false."""
         while self.running:
             task = asyncio.create_task(self._send_one())
             self._tasks.add(task)
@@ -78,7 +79,7 @@
         await asyncio.gather(*self._tasks)
 
     async def watch_ready(self) -> None:
-        """Keep up with which daemons are ready, as a balancer does."""
+        """Poll which daemons are ready, as a load balancer does."""
         while True:
             checks = [self._check_ready(number) for number in range(DAEMONS)]
             found = await asyncio.gather(*checks)
@@ -145,7 +146,7 @@
         headers: dict[str, str],
         expected: str | None,
     ) -> tuple[str, str, bool, bool]:
-        """Return outcome, reason, whether it was wrong, whether it was cut."""
+        """Return outcome, reason, and whether the answer was wrong and was cut off."""
         try:
             async with self._http.post(url, json=body, headers=headers) as response:
                 text = await response.text()
@@ -173,7 +174,7 @@
 
 
 class Chaos:
-    """The schedule of faults."""
+    """The sequence of faults."""
 
     def __init__(self, cluster: Cluster, http: ClientSession, load: Load) -> None:
         self._cluster = cluster
@@ -184,7 +185,7 @@
         self.statuses: list[int] = []
 
     async def run(self) -> None:
-        """Bring all faults about, one after the other."""
+        """Inject all faults, one after the other."""
         for work in (
             self.kill_daemon,
             self.freeze_daemon,
@@ -201,7 +202,7 @@
             await asyncio.sleep(2.0)
 
     async def kill_daemon(self, number: int = 1) -> None:
-        """Kill a daemon; measure until its endpoints have another leader."""
+        """Kill a daemon; measure the time until its endpoints have new leaders."""
         led = await self._list_leading(number)
         self._cluster.kill(f"vm-{number}")
         begin = time.monotonic()
@@ -231,7 +232,7 @@
         return False
 
     async def freeze_daemon(self, number: int = 2) -> None:
-        """Stop a daemon past its lease, and let it go on."""
+        """Suspend a daemon for longer than its lease, then resume it."""
         self._cluster.signal(f"vm-{number}", signal.SIGSTOP)
         await asyncio.sleep(FREEZE_DURATION)
         self._cluster.signal(f"vm-{number}", signal.SIGCONT)
@@ -246,14 +247,14 @@
             await asyncio.sleep(1.0)
 
     async def hang_engine(self) -> None:
-        """Let an engine hang with its sockets open."""
+        """Make an engine hang with its sockets open."""
         url = self._cluster.url("engine-1")
         await set_faults(self._http, url, hang=True)
         await asyncio.sleep(4.0)
         await set_faults(self._http, url, hang=False)
 
     async def stop_objects(self) -> None:
-        """Let the object API be down, then lose answers."""
+        """Make the object API unavailable, then lose answers."""
         url = self._cluster.url("objects")
         await set_faults(self._http, url, down=True)
         await asyncio.sleep(5.0)
@@ -262,7 +263,7 @@
         await set_faults(self._http, url, lose_answers=0.0)
 
     async def slow_weights(self) -> None:
-        """Let the weight store be slow, then down."""
+        """Make the weight store slow, then unavailable."""
         url = self._cluster.url("weights")
         await set_faults(self._http, url, slow=3.0)
         await asyncio.sleep(3.0)
@@ -271,7 +272,7 @@
         await set_faults(self._http, url, down=False)
 
     async def shift_popularity(self) -> None:
-        """Make cold adapters hot."""
+        """Shift the popularity to rarely used adapters."""
         self._load.most_popular = ADAPTERS // 2
 
     async def replace_all(self) -> None:
@@ -299,7 +300,7 @@
 
 
 async def write_configuration(cluster: Cluster, http: ClientSession) -> None:
-    """Write the configuration straight into the object API."""
+    """Write the configuration directly to the object API."""
 
     async def put(of_kind: str, name: str, /, **value: Any) -> None:
         stored = {
@@ -351,14 +352,14 @@
 
 @dataclass(frozen=True)
 class Counts:
-    """What the endpoints counted."""
+    """Counts of runs and violations at the endpoints."""
 
     runs: Counter[str]
     unloaded_in_use: int
 
 
 async def fetch_counts(cluster: Cluster, http: ClientSession) -> Counts:
-    """Return the endpoints' own counts."""
+    """Return the totals of the endpoints' counts."""
     runs: Counter[str] = Counter()
     violations = 0
     names = [f"engine-{n}" for n in range(ENGINES)]
@@ -372,7 +373,7 @@
 
 
 def report(load: Load, chaos: Chaos, counts: Counts) -> bool:
-    """Print the figures; return whether every promise was kept."""
+    """Print the metrics; return whether all promises were kept."""
     results = load.results
     outcomes = Counter(result.outcome for result in results)
     reasons = Counter(r.reason for r in results if r.outcome != "done")
@@ -409,7 +410,7 @@
 
 
 async def run_chaos(directory: Path, base_port: int, rate: float) -> bool:
-    """Run the load and the faults; return whether every promise was kept."""
+    """Run the load and the faults; return whether all promises were kept."""
     spec = ClusterSpec(
         directory=directory,
         base_port=base_port,
@@ -447,7 +448,7 @@
 @click.option("--rate", default=40.0, help="Requests a second.")
 @click.option("--keep", type=click.Path(path_type=Path), default=None)
 def main(base_port: int, rate: float, keep: Path | None) -> None:
-    """Run true processes under load and faults."""
+    """Run daemon processes under load and faults."""
     with tempfile.TemporaryDirectory() as directory:
         passed = asyncio.run(run_chaos(keep or Path(directory), base_port, rate))
     sys.exit(0 if passed else 1)
--- a/bench/cluster.py
+++ b/bench/cluster.py
@@ -1,4 +1,4 @@
-"""Start the stand-ins and daemons as plain processes on loopback; stop just those."""
+"""Starts stand-ins and daemons as processes on loopback, and stops only these."""
 
 import asyncio
 import contextlib
@@ -19,14 +19,14 @@
 START_TIMEOUT: Final = 15.0
 STOP_TIMEOUT: Final = 20.0
 POLL_INTERVAL: Final = 0.05
-# How much of each log a failed demonstration shows, characters.
+# Length of the end of each log that a failed demo prints, characters.
 LOG_TAIL: Final = 1200
 REPOSITORY: Final = Path(__file__).resolve().parent.parent
 
 
 @dataclass(frozen=True)
 class ClusterSpec:
-    """How many of what; ports count up from ``base_port``."""
+    """Sizes and options of a cluster; ports are assigned from ``base_port`` upwards."""
 
     directory: Path
     base_port: int = 20_000
@@ -41,7 +41,7 @@
 
 
 class Cluster:
-    """The processes that this one has started."""
+    """The processes started by this program."""
 
     def __init__(self, spec: ClusterSpec) -> None:
         self.spec = spec
@@ -65,20 +65,20 @@
         return base + offset + int(number)
 
     def daemon_ports(self, number: int) -> dict[str, int]:
-        """Return the ports of the sides of one daemon."""
+        """Return the ports of one daemon by listener."""
         base = self.spec.base_port + 100 + 3 * number
         return {"callers": base, "peers": base + 1, "operators": base + 2}
 
     def callers_url(self, number: int) -> str:
-        """Return the callers' URL of a daemon."""
+        """Return a daemon's URL for callers."""
         return f"http://{HOST}:{self.daemon_ports(number)['callers']}"
 
     def operators_url(self, number: int) -> str:
-        """Return the operators' URL of a daemon."""
+        """Return a daemon's URL for operators."""
         return f"http://{HOST}:{self.daemon_ports(number)['operators']}"
 
     def data_centre(self, number: int) -> str:
-        """Return the data centre of the daemon or endpoint of a number."""
+        """Return the data centre of the daemon or endpoint with a number."""
         return f"dc-{number % self.spec.data_centres + 1}"
 
     # Starting
@@ -166,7 +166,7 @@
             self.start_standin(f"service-{number}", "service", {"name": f"s{number}"})
 
     async def start(self) -> None:
-        """Start everything and wait until it answers."""
+        """Start all processes and wait until they answer."""
         self.start_standins()
         async with ClientSession(timeout=ClientTimeout(total=1)) as http:
             await wait_for_answer(http, f"{self.url('objects')}/calls")
@@ -181,17 +181,17 @@
     # Ending
 
     def signal(self, name: str, number: int) -> None:
-        """Send a signal to a process that this one started."""
+        """Send a signal to a process of this cluster."""
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """End a process at once, and reap it."""
+        """Kill a process and reap it."""
         process = self.processes.pop(name)
         process.kill()
         process.wait()
 
     async def stop_planned(self, name: str) -> int:
-        """End a process by SIGTERM; return its exit status."""
+        """Stop a process with SIGTERM; return its exit status."""
         process = self.processes.pop(name)
         process.send_signal(signal.SIGTERM)
         try:
@@ -209,14 +209,14 @@
         return dict(zip(daemons, statuses, strict=True))
 
     def kill_all(self) -> None:
-        """End everything at once."""
+        """Kill all processes."""
         for name in list(self.processes):
             with contextlib.suppress(ProcessLookupError):
                 self.kill(name)
 
 
 async def wait_for_answer(http: ClientSession, url: str, status: int = 200) -> None:
-    """Wait until a URL answers; raises ``TimeoutError``."""
+    """Wait until a URL answers with a status; raises ``TimeoutError``."""
     async with asyncio.timeout(START_TIMEOUT):
         while True:
             try:
@@ -229,15 +229,15 @@
 
 
 async def set_faults(http: ClientSession, url: str, **faults: Any) -> None:
-    """Switch faults of a stand-in."""
+    """Set faults of a stand-in."""
     async with http.post(f"{url}/faults", json=faults) as response:
         response.raise_for_status()
 
 
 def conclude_demo(directory: Path, *, passed: bool) -> NoReturn:
-    """Say whether all was right, with the ends of the logs if not, and exit."""
+    """Print the result, after a failure with the ends of the logs, and exit."""
     if not passed:
         for log in sorted(directory.glob("*.log")):
             click.echo(f"--- {log.name}\n{log.read_text()[-LOG_TAIL:]}")
-    click.echo(f"demo: {'every answer was right' if passed else 'something was WRONG'}")
+    click.echo(f"demo: {'all checks passed' if passed else 'some checks FAILED'}")
     sys.exit(0 if passed else 1)
--- a/bench/demo.py
+++ b/bench/demo.py
@@ -1,4 +1,4 @@
-"""Show the whole path once, as separate processes; exit 0 only if all was right."""
+"""Demo of all features as separate processes; exits with 0 only if it succeeded."""
 
 import asyncio
 import json
@@ -28,24 +28,24 @@
 
 
 class Demo:
-    """The demonstration, with a count of what was wrong."""
+    """The steps of the demo, with a count of failed checks."""
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self._failures = 0
 
     def check(self, passed: bool, description: str) -> None:
-        """Print one check."""
+        """Print and count the result of one check."""
         self._failures += not passed
-        click.echo(f"{'right' if passed else 'WRONG'}: {description}")
+        click.echo(f"{'passed' if passed else 'FAILED'}: {description}")
 
     @property
     def all_passed(self) -> bool:
-        """Tell whether every check held."""
+        """Return whether every check passed."""
         return self._failures == 0
 
     def operate(self, *arguments: str) -> None:
-        """Run the operators' command line as a process of its own."""
+        """Run the operators' command line as a separate process."""
         click.secho(f"$ kestreltally {' '.join(arguments)}", bold=True)
         settings = self._cluster.spec.directory / "kestreltally.yaml"
         command = [sys.executable, "-m", "kestreltally.cli.main", "--settings"]
@@ -57,10 +57,10 @@
             cwd=REPOSITORY,
         )
         click.echo(done.stdout + done.stderr, nl=False)
-        self.check(done.returncode == 0, "the command line did it")
+        self.check(done.returncode == 0, "the command succeeded")
 
     def create_objects(self) -> None:
-        """Create everything by the command line."""
+        """Create the configuration by the command line."""
         path = self._cluster.spec.directory / "demo.kt"
         path.write_text(write_statements(self._cluster), encoding="utf-8")
         self.operate("--wait", "5", "apply", "-f", str(path))
@@ -82,7 +82,7 @@
         return response.status, json.loads(text) if kind == "application/json" else text
 
     async def send_ordinary(self, http: ClientSession) -> None:
-        """Send one whole request for each adapter, each to another daemon."""
+        """Send one request without streaming per adapter, each to another daemon."""
         for number, adapter in enumerate(("balances", "disputes", "chapters")):
             prompt = f"explain {adapter}"
             body = {"model": adapter, "prompt": prompt, "max_tokens": TOKENS}
@@ -95,7 +95,7 @@
             )
             expected = make_answer(f"{adapter}@1", prompt, TOKENS)
             passed = status == 200 and answer["choices"][0]["text"] == expected
-            self.check(passed, f"{adapter}: whole answer of the right adapter")
+            self.check(passed, f"{adapter}: complete answer from the requested adapter")
 
     async def send_streamed(self, http: ClientSession) -> None:
         """Stream one request."""
@@ -113,10 +113,10 @@
         )
         passed = status == 200 and events[-1] == "data: [DONE]"
         passed = passed and words == make_answer("balances@1", "hello", TOKENS)
-        self.check(passed, "balances@1: streamed answer, whole, with its end mark")
+        self.check(passed, "balances@1: complete streamed answer with its end mark")
 
     async def redeem(self, http: ClientSession) -> None:
-        """Send a not-repeatable request twice, to two daemons."""
+        """Send a non-repeatable request twice, to two daemons."""
         once = {"X_Request_Id": "redeem-1", "X_Not_Repeatable": "true"}
         body = {"points": 100}
         status, _ = await self.send(http, 0, "/ledger/redeem", body, **once)
@@ -129,7 +129,7 @@
         self.check(runs == {"till:redeem-1": 1}, f"the ledger counts one run: {runs}")
 
     async def send_forbidden(self, http: ClientSession) -> None:
-        """Ask for an adapter that no rule allows."""
+        """Request an adapter that no rule allows."""
         body = {"model": "secret", "prompt": "x"}
         status, answer = await self.send(http, 2, "/v1/completions", body)
         error = answer["error"]
@@ -137,7 +137,7 @@
         self.check(passed, f"a forbidden adapter is refused: {error['message']}")
 
     async def run(self) -> None:
-        """Run the demonstration on a cluster that is up."""
+        """Run the demo on a running cluster."""
         self.create_objects()
         async with ClientSession(timeout=ClientTimeout(total=20)) as http:
             for number in range(self._cluster.spec.daemons):
@@ -155,7 +155,7 @@
 
 
 def write_statements(cluster: Cluster) -> str:
-    """Return the statements that set a cluster up."""
+    """Return the statements that configure a cluster."""
     lines = [f"create model {MODEL};"]
     for number in range(cluster.spec.engines):
         lines.append(
@@ -198,7 +198,7 @@
 @click.command()
 @click.option("--base-port", default=20_000)
 def main(base_port: int) -> None:
-    """Show the whole path once."""
+    """Run the demo."""
     with tempfile.TemporaryDirectory() as directory:
         try:
             passed = asyncio.run(_demonstrate(Path(directory), base_port))
--- a/bench/faultsoak/checker.py
+++ b/bench/faultsoak/checker.py
@@ -1,4 +1,4 @@
-"""What clients and endpoints see, held against the promises of docs/PROMISES.md."""
+"""Checks what clients and endpoints see against the promises of docs/PROMISES.md."""
 
 import asyncio
 import contextlib
@@ -22,30 +22,31 @@
 from standins.platform_engine import EVENTS
 
 OK: Final = 200
-# A request may end so many engines, and so many more once all can know.
+# Engines that a request may crash before it must be known as poison, and engines that
+# it may crash after that.
 MAX_ENGINE_CRASHES: Final = 3
-# What a refusal says of a request that ends engines.
+# Text in the refusal of a poison request.
 STOPPED_TEXT: Final = "ended under it"
 PROMISES_NOT_RUN: Final = frozenset({408, 421, 429, 503})
 TIMEOUT: Final = 8.0
 MIN_LEASE_GAP: Final = BOUNDS["LeaseMs"] / 1000
 DRAIN_TIME: Final = BOUNDS["DrainMs"] / 1000
 CONFIGURATION_BOUND: Final = BOUNDS["ConfigurationMs"] / 1000
-# Bounds hold after so much time without disturbance, before and throughout.
+# Bounds apply where nothing was disturbed for this long before, and throughout.
 UNDISTURBED_TIME: Final = 3.0
-# A limit that an endpoint names bounds the calls of all daemons in any such window.
+# The rate limit of an endpoint bounds the calls of all daemons in any such window.
 LIMIT_WINDOW: Final = 4.0
 LIMIT_FACTOR: Final = 1.5
 LIMIT_ALLOWANCE: Final = 5
-# What the machine under the soak may be late by.
+# Allowance for delays of the machine that runs the soak, seconds.
 SLACK: Final = 0.5
-# Orders of a daemon just let go on, or over a path just healed, do not count.
+# Orders are not checked for this long after a daemon is resumed or a path healed.
 RESUME_GRACE: Final = 0.6
 
 
 @dataclass
 class RequestRecord:
-    """One request and what came of it; ``status`` 0 means no answer."""
+    """One request and its result; ``status`` 0 means no answer."""
 
     id: str
     daemon: Daemon
@@ -62,21 +63,21 @@
 
 @dataclass
 class Checker:
-    """Sends requests, keeps what came of them, and says what was broken."""
+    """Sends requests, records their results, and collects violations."""
 
     system: SoakSystem
     records: list[RequestRecord] = field(default_factory=list)
     problems: list[str] = field(default_factory=list)
-    # When something disturbed the system: its beginning and end.
+    # Start and end of each disturbance of the system.
     disturbances: list[tuple[float, float]] = field(default_factory=list)
     stops: list[tuple[Daemon, float, float]] = field(default_factory=list)
     healed: list[float] = field(default_factory=list)
     poison_count: int = 0
-    # The newest configuration that each process was seen to act upon.
+    # The newest configuration that each process has been seen to apply.
     seen_versions: dict[tuple[str, int], int] = field(default_factory=dict)
 
     def is_undisturbed(self, begin: float, end: float) -> bool:
-        """Tell whether nothing disturbed the system around a span."""
+        """Return whether nothing disturbed the system in a span or shortly before."""
         return not any(
             b < end and e > begin - UNDISTURBED_TIME for b, e in self.disturbances
         )
@@ -89,7 +90,7 @@
         adapter: str = "",
         key: str = "",
     ) -> RequestRecord:
-        """Send one request, and check what its answer says."""
+        """Send one request and check its answer."""
         clock = asyncio.get_running_loop().time
         name = f"s{len(self.records)}"
         key = key or self.system.keys.current[STEADY]
@@ -124,7 +125,7 @@
         self, record: RequestRecord, answered: str | None, text: str
     ) -> None:
         if answered != record.id:
-            self.problems.append(f"{record.id} got the answer of {answered}")
+            self.problems.append(f"{record.id} got the answer to {answered}")
         if not record.adapter:
             if text != f"POST {record.path} 1":
                 self.problems.append(f"{record.id} got {text!r} for {record.path}")
@@ -137,21 +138,25 @@
             self.problems.append(f"{record.id} for {record.adapter} was run by {ran}")
 
     async def probe_configuration(self, http: ClientSession, daemon: Daemon) -> None:
-        """Ask on the newest configuration's own route, and judge the answer."""
+        """Request the probe route of the newest configuration and check the answer."""
         version, since = self.system.version, self.system.configured_at
         record = await self.send(http, daemon, f"/v{version}/")
         boot = (daemon.vm, record.boot)
         if record.status == 404 and self.system.version == version:
             late = record.began > since + CONFIGURATION_BOUND + SLACK
             if self.seen_versions.get(boot, 0) >= version:
-                self.problems.append(f"{daemon.vm} went back from version {version}")
+                self.problems.append(
+                    f"{daemon.vm} reverted from configuration {version}"
+                )
             elif late and self.is_undisturbed(since, record.ended):
-                self.problems.append(f"{daemon.vm} lacks version {version}")
+                self.problems.append(
+                    f"{daemon.vm} has not applied configuration {version}"
+                )
         elif record.status == 200:
             self.seen_versions[boot] = max(version, self.seen_versions.get(boot, 0))
 
     def check_final(self) -> None:
-        """Judge what only the whole soak can tell."""
+        """Run the checks that need the records of the complete soak."""
         endpoints = self.system.all_endpoints
         self.problems.extend(self.system.unexpected_exits)
         self._check_runs(endpoints)
@@ -164,7 +169,7 @@
         self._check_poison(endpoints)
 
     async def send_poison(self, http: ClientSession, daemon: Daemon, body: str) -> None:
-        """Send a request that ends the engine that begins to run it."""
+        """Send a poison request, which crashes the engine that starts to run it."""
         key = self.system.keys.current[STEADY]
         self.poison_count += 1
         headers = {
@@ -183,7 +188,7 @@
                 await answer.read()
 
     def _check_poison(self, endpoints: list[SoakEndpoint]) -> None:
-        """Check that what ends engines is stopped, and nothing else."""
+        """Check that poison requests are stopped and no other requests are."""
         runs: dict[str, list[float]] = {}
         for endpoint in endpoints:
             for body, times in endpoint.engine.poison_runs.items():
@@ -194,7 +199,9 @@
             late = [at for at in times if third and at > third[0] + UNDISTURBED_TIME]
             counted = [at for at in late if self.is_undisturbed(at, at)]
             if len(counted) > MAX_ENGINE_CRASHES:
-                self.problems.append(f"{body} ended {len(times)}, {len(late)} late")
+                self.problems.append(
+                    f"{body} crashed {len(times)} engines, {len(late)} late"
+                )
         for record in self.records:
             if STOPPED_TEXT in record.reason:
                 self.problems.append(f"{record.id} was stopped: {record.reason}")
@@ -210,14 +217,14 @@
                 self.problems.append(f"{record.id} ran {runs[record.id]} times")
 
     def must_be_served(self, record: RequestRecord) -> bool:
-        """Tell whether a request is to be served: with a key, and within its quota."""
+        """Return whether a request must be served: valid key, no quota, no probe."""
         keys = self.system.keys
         limited = keys.holders[record.key] == LIMITED
         probes = record.path.startswith("/v")
         return not probes and not limited and record.key not in keys.revoked_at
 
     def _check_keys(self, endpoints: list[SoakEndpoint]) -> None:
-        """Check whose requests ran, and that none did past its key's bound."""
+        """Check the organisation of each run, and that revoked keys are refused."""
         keys = self.system.keys
         for record in self.records:
             holder = keys.holders[record.key]
@@ -232,7 +239,7 @@
                 if record.began > revoked_at + REVOCATION:
                     late = record.began - revoked_at
                     self.problems.append(
-                        f"{record.id} ran {late:.2f} s without its key"
+                        f"{record.id} ran {late:.2f} s after its key was revoked"
                     )
             good = record.key not in keys.revoked_at
             if (
@@ -240,13 +247,13 @@
                 and record.status == 401
                 and record.began > self._compute_known_at(record.key)
             ):
-                self.problems.append(f"{record.id}: 401 for a good key")
+                self.problems.append(f"{record.id}: 401 for a valid key")
         for endpoint in endpoints:
             for name in endpoint.engine.requests_with_key:
-                self.problems.append(f"{name} was handed on with its key")
+                self.problems.append(f"{name} was forwarded with its key")
 
     def _compute_known_at(self, key: str) -> float:
-        """Return from when a key that was given is known to all in touch."""
+        """Return the time by which all connected daemons must know an issued key."""
         return self.system.keys.issued_at.get(key, 0.0) + CONFIGURATION_BOUND + SLACK
 
     def _check_quota(self, endpoints: list[SoakEndpoint]) -> None:
@@ -263,13 +270,15 @@
         for number, at in enumerate(ran):
             in_window = number + 1 - bisect_left(ran, at - QUOTA_WINDOW)
             if in_window > MAX_PER_WINDOW:
-                self.problems.append(f"{in_window} ran of a quota of {LIMITED}")
+                self.problems.append(f"{in_window} runs in a quota window of {LIMITED}")
                 return
 
     def _check_orders(self, endpoint: SoakEndpoint) -> None:
         engine = endpoint.engine
         if engine.overload_restarts:
-            self.problems.append(f"{engine.id} was ordered beyond its places")
+            self.problems.append(
+                f"{engine.id} was ordered to load more adapters than it has places"
+            )
         orders = list(zip(engine.order_times, engine.holders, strict=True))
         for (at, (holder, fence)), (later, (next_holder, next_fence)) in pairwise(
             orders
@@ -277,9 +286,9 @@
             if any(0 <= later - healed < RESUME_GRACE for healed in self.healed):
                 continue
             if next_fence < fence:
-                self.problems.append(f"{engine.id}: number {next_fence} after {fence}")
+                self.problems.append(f"{engine.id}: fence {next_fence} after {fence}")
             if next_holder != holder and next_fence == fence:
-                self.problems.append(f"{engine.id}: number {fence} of two holders")
+                self.problems.append(f"{engine.id}: fence {fence} used by two holders")
             if next_holder != holder and later - at < MIN_LEASE_GAP:
                 self.problems.append(
                     f"{engine.id}: {next_holder} {later - at:.2f} s after {holder}"
@@ -294,33 +303,36 @@
 
         if endpoint.announced_at is None:
             return
-        # Daemons learn of it from the first answer, theirs or another's.
+        # Daemons learn of it from the first answer, to themselves or to another daemon.
         answered = [
             at for at in endpoint.engine.arrivals if at >= endpoint.announced_at
         ]
         last = min(answered, default=0.0) + DRAIN_TIME + SLACK
         for at in answered:
             if at > last and self.is_undisturbed(endpoint.announced_at, at):
-                self.problems.append(f"{endpoint.engine.id}: asked though it leaves")
+                self.problems.append(
+                    f"{endpoint.engine.id}: called although it is leaving"
+                )
 
     def check_backoff(self, endpoint: SoakEndpoint, began: float, booted: int) -> None:
-        """Check that an endpoint that asked for rest got it.
+        """Check that an endpoint's backoff was respected.
 
-        Each process learns of it by a request of its own, or two sent at once.
+        Each process learns of it by its own request, or by two sent concurrently.
         """
         arrivals = [at for at in endpoint.engine.arrivals if at > began + SLACK]
         allowed = 2 * (len(self.system.daemons) + booted)
         if len(arrivals) > allowed:
             self.problems.append(
-                f"{endpoint.engine.id}: asked {len(arrivals)} times while it rested"
+                f"{endpoint.engine.id}: called {len(arrivals)} times during its backoff"
             )
 
     def check_limit(
         self, endpoint: SoakEndpoint, limit: float, began: float, ended: float
     ) -> None:
-        """Check that what all daemons called kept a limit, in any window.
+        """Check that the calls of all daemons respected a rate limit in any window.
 
-        Only where all were in touch throughout, and had heard of it before.
+        Applies only where all daemons were connected throughout and had received the
+        limit before.
         """
         calls = [
             at for at in endpoint.engine.calls if began + UNDISTURBED_TIME < at < ended
@@ -331,7 +343,8 @@
             allowed = LIMIT_FACTOR * limit * LIMIT_WINDOW + LIMIT_ALLOWANCE
             if in_window > allowed and self.is_undisturbed(since, at):
                 self.problems.append(
-                    f"{endpoint.engine.id}: called {in_window} times of {allowed:.0f}"
+                    f"{endpoint.engine.id}: called {in_window} times, "
+                    f"limit {allowed:.0f}"
                 )
                 return
 
--- a/bench/faultsoak/mutations.py
+++ b/bench/faultsoak/mutations.py
@@ -1,7 +1,7 @@
-"""Show that the soak can fail: it plays daemons that lack one mechanism each.
+"""Mutation tests of the fault soak: run daemons that each lack one mechanism.
 
-Each mutation changes one place of a copy of the program; a plan of the kind of trouble
-that the mechanism is for must then break a promise.
+Each mutation changes one place in a copy of the program. A plan of the faults that the
+mechanism protects against must then give a violation.
 """
 
 import asyncio
@@ -27,11 +27,11 @@
 
 @dataclass(frozen=True)
 class Mutation:
-    """A mechanism taken away: the text that stands for it, and what replaces it.
+    """A removed mechanism: its source text ``before`` and the replacement ``after``.
 
-    ``action`` is the trouble that must show it, done each ``every`` seconds to one
-    target after the other, ``duration`` seconds long. A key is taken away
-    ``revoke_after`` seconds after each beginning, where that is given.
+    ``action`` is the fault that must reveal it, injected every ``every`` seconds into
+    one target after the other for ``duration`` seconds. If ``revoke_after`` is given, a
+    key is revoked so many seconds after each start of the fault.
     """
 
     name: str
@@ -45,7 +45,7 @@
     revoke_after: float | None = None
 
     def make_plan(self) -> list[Step]:
-        """Return the steps that must show it."""
+        """Return the steps that must reveal the mutation."""
         count = int(SECONDS / self.every)
         begins = [1.0 + number * self.every for number in range(count)]
         steps = [
@@ -60,20 +60,22 @@
         return sorted(steps, key=lambda each: each.at)
 
     def write_source(self, directory: Path) -> Path:
-        """Write the changed program into a directory; return its source folder."""
+        """Write the mutated program into a directory; return its source folder."""
         source = directory / "src"
         shutil.copytree(REPOSITORY / "src", source)
         path = source / "kestreltally" / self.module
         text = path.read_text(encoding="utf-8")
         if text.count(self.before) != 1:
-            raise ValueError(f"{self.name}: {self.module} does not hold its text once")
+            raise ValueError(
+                f"{self.name}: {self.module} must contain the text exactly once"
+            )
         path.write_text(text.replace(self.before, self.after), encoding="utf-8")
         return source
 
 
 MUTATIONS: Final = (
     Mutation(
-        name="a false promise that a request has not run",
+        name="false report that a request has not run",
         module="entry/progress.py",
         before="    if progress.runs:\n",
         after="    if False:\n",
@@ -81,7 +83,7 @@
         mode=ProxyMode.CUT_FROM_TARGET,
     ),
     Mutation(
-        name="an unsafe request sent twice",
+        name="unsafe request sent twice",
         module="entry/relay.py",
         before="return request.route.repeatable and progress.runs < request.route.",
         after="return True or request.route.",
@@ -89,7 +91,7 @@
         mode=ProxyMode.CUT_FROM_TARGET,
     ),
     Mutation(
-        name="a planned stop that does not wait",
+        name="planned stop that does not wait for requests",
         module="fleet_daemon.py",
         before="        while self._clock() < last:\n",
         after="        while False:\n",
@@ -97,7 +99,7 @@
         every=5.0,
     ),
     Mutation(
-        name="a lease that is not waited out",
+        name="former lease not waited out",
         module="placing/lease.py",
         before="        return last + MAX_ORDER_TRANSIT + self._holder_gap\n",
         after="        return now\n",
@@ -107,7 +109,7 @@
         duration=7.0,
     ),
     Mutation(
-        name="numbers that do not rise",
+        name="fence numbers that do not rise",
         module="placing/lease.py",
         before="self._next_fence(former.fence), quiet=",
         after="former.fence, quiet=",
@@ -117,7 +119,7 @@
         duration=7.0,
     ),
     Mutation(
-        name="leaving endpoints used on",
+        name="leaving endpoints still used",
         module="platform/documents.py",
         before='leaving=_STATES[_read_text(entry["State"])]',
         after="leaving=False",
@@ -125,7 +127,7 @@
         every=6.0,
     ),
     Mutation(
-        name="that an endpoint leaves not taken from its answers",
+        name="leaving notice in answers ignored",
         module="fleet/notices.py",
         before="        row.leaves = True\n        log_decision",
         after="        log_decision",
@@ -133,7 +135,7 @@
         every=6.0,
     ),
     Mutation(
-        name="rest that an endpoint records for not given",
+        name="backoff that an endpoint asks for ignored",
         module="fleet/notices.py",
         before="        row.start_recovery(now + rest)\n",
         after="",
@@ -142,7 +144,7 @@
         duration=4.0,
     ),
     Mutation(
-        name="a limit that each daemon keeps alone",
+        name="rate limit applied by each daemon alone",
         module="fleet/rate_limits.py",
         before="        if issuer.known or daemons is None or daemons > MAX_ISOLATED + "
         "self.rate:\n            return 0.0\n"
@@ -153,14 +155,14 @@
         duration=8.0,
     ),
     Mutation(
-        name="places not counted",
+        name="occupied adapter places not counted",
         module="placing/enginestate.py",
         before="        return max(0, spec.adapter_places - self.count_occupied())\n",
         after="        return spec.adapter_places\n",
         action=Action.RELOAD,
     ),
     Mutation(
-        name="configurations of the store not followed",
+        name="new configurations in the store ignored",
         module="fleet/tables.py",
         before="current is not None and configuration.version <= current.version",
         after="current is not None",
@@ -168,7 +170,7 @@
         every=6.0,
     ),
     Mutation(
-        name="the age of a word on keys not checked",
+        name="age of the configuration not checked for keys",
         module="knowledge/authority.py",
         before="self.bound is None or self.compute_age() < self.bound - DRIFT_MARGIN",
         after="True",
@@ -178,14 +180,14 @@
         revoke_after=0.3,
     ),
     Mutation(
-        name="a quota that each daemon holds alone",
+        name="quota applied by each daemon alone",
         module="quotas/ledger.py",
         before="        ratio = 1.0 if free or asked <= allowed else",
         after="        ratio = 1.0 if True else",
         action=Action.RELOAD,
     ),
     Mutation(
-        name="ends of endpoints that daemons do not tell each other",
+        name="endpoint crashes not shared between daemons",
         module="knowledge/poison_exchange.py",
         before="        if self._poison.register.record_reported(facts) "
         "and self._leaders.leads:\n",
@@ -195,7 +197,7 @@
         duration=16.0,
     ),
     Mutation(
-        name="a request that ends engines not stopped",
+        name="poison request not stopped",
         module="poison/register.py",
         before="settled=True) if wait > 0 else None\n",
         after="settled=True) if False else None\n",
@@ -204,7 +206,7 @@
         duration=16.0,
     ),
     Mutation(
-        name="a client's key handed on",
+        name="client's key forwarded to the endpoint",
         module="platform/headers.py",
         before="        _KEY.lower(),\n",
         after="",
@@ -214,7 +216,7 @@
 
 
 async def play(mutation: Mutation, base_port: int) -> str:
-    """Play a mutation's plan; return the first problem, empty when it survived."""
+    """Run a mutation's plan; return the first problem, empty if it survived."""
     with tempfile.TemporaryDirectory() as name:
         directory = Path(name)
         source = mutation.write_source(directory)
@@ -225,12 +227,12 @@
 
 @click.command()
 @click.option("--base-port", default=26_000)
-@click.option("--only", default="", help="A part of the names to play.")
+@click.option("--only", default="", help="Run only mutations whose name contains this.")
 def main(base_port: int, only: str) -> None:
     """Print a table of mutations; exit 0 only if none survived."""
     logging.disable(logging.ERROR)
     survivors = 0
-    click.echo("| mechanism taken away | the first problem |\n| --- | --- |")
+    click.echo("| removed mechanism | first problem |\n| --- | --- |")
     for mutation in MUTATIONS:
         if only in mutation.name:
             problem = asyncio.run(play(mutation, base_port))
--- a/bench/faultsoak/organisations.py
+++ b/bench/faultsoak/organisations.py
@@ -1,4 +1,4 @@
-"""The organisations of a soak, and their keys as operators change them."""
+"""Organisations of the soak, and their keys as operators change them."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -8,9 +8,9 @@
 from bench.fleet_demo import BOUNDS
 
 STEADY: Final = "alpha"
-# Its key is taken away now and then, and it gets another.
+# Its key is revoked at random times and replaced by another.
 CHANGING: Final = "beta"
-# It asks for about twice what its quota allows.
+# It sends about twice as many requests as its quota allows.
 LIMITED: Final = "gamma"
 
 REVOCATION: Final = 4.0
@@ -35,7 +35,7 @@
 
 @dataclass
 class Keys:
-    """Which keys there are, whose, since when, and when they were taken away."""
+    """Keys with their organisations and times of issue and revocation."""
 
     holders: dict[str, str] = field(default_factory=dict)
     current: dict[str, str] = field(default_factory=dict)
@@ -44,12 +44,12 @@
     _numbers: Iterator[int] = field(default_factory=count)
 
     def __post_init__(self) -> None:
-        """Give each organisation its first key."""
+        """Issue the first key of each organisation."""
         for name in (STEADY, CHANGING, LIMITED):
             self.issue(name)
 
     def issue(self, name: str) -> str:
-        """Give an organisation a new key; return the one that it had, if any."""
+        """Issue a new key to an organisation; return its former key, empty if none."""
         before = self.current.get(name, "")
         key = f"key-of-{name}-{next(self._numbers)}"
         self.holders[key] = name
--- a/bench/faultsoak/plan.py
+++ b/bench/faultsoak/plan.py
@@ -1,5 +1,5 @@
-"""What a soak does, made from its seed: faults, signals and changes, in series and
-overlapping."""
+"""The plan of a soak, drawn from a seed: faults, signals and configuration changes,
+one after the other and overlapping."""
 
 import random
 from collections.abc import Iterator
@@ -9,43 +9,43 @@
 
 from bench.faultsoak.proxy import ProxyMode
 
-# Faults begin this long after the daemons are ready, seconds.
+# Delay of the first fault after the daemons are ready, seconds.
 FIRST_FAULT_AT: Final = 1.0
-# The mean pause between two beginnings, and the length of a fault, seconds.
+# Mean pause between the starts of two faults, and range of durations, seconds.
 MEAN_PAUSE: Final = 0.9
 FAULT_DURATIONS: Final = (0.3, 5.0)
-# The last fault ends so long before recovery is measured.
+# Time between the end of the last fault and the measurement of recovery, seconds.
 GRACE: Final = 8.0
 
 
 class Action(Enum):
-    """What is done to the system or its surroundings."""
+    """An action on the system or its environment."""
 
-    STORE_PATH = "path of a daemon to the store"
-    ENDPOINT_PATH = "path of all daemons to an endpoint"
+    STORE_PATH = "path from a daemon to the store"
+    ENDPOINT_PATH = "path from all daemons to an endpoint"
     STORE_DOWN = "store down"
     STORE_SLOW = "store slow"
     STORE_LOSES_ANSWERS = "store loses answers"
-    STORE_COMPACTS = "store forgets its history"
+    STORE_COMPACTS = "store compacts its history"
     PAUSE = "daemon paused"
     KILL = "daemon killed"
     KILL_MANY = "most daemons killed at once"
     PLANNED_STOP = "daemon stopped as planned"
-    RELOAD = "daemon told of new settings"
+    RELOAD = "daemon reloads its settings"
     ENGINE_CRASH = "engine crashes"
-    ENGINE_LEAVES = "endpoint leaves, another comes"
+    ENGINE_LEAVES = "endpoint leaves, another replaces it"
     ENGINE_ERRORS = "endpoint answers 500"
     CONFIGURE = "new configuration"
     VERSION = "new version of an adapter"
-    REVOKE = "a key is taken away"
-    POISON = "a request that ends engines comes again and again"
-    STORE_RESTORED = "store comes back from a copy"
-    LEAVING_NOTICE = "endpoint leaves, and only its answers say so"
-    BACKOFF_NOTICE = "endpoint turns requests away and asks for rest"
-    RATE_LIMIT_NOTICE = "endpoint names how much it takes from all daemons"
+    REVOKE = "key revoked"
+    POISON = "poison request repeated"
+    STORE_RESTORED = "store restored from a backup"
+    LEAVING_NOTICE = "endpoint leaves, announced only in its answers"
+    BACKOFF_NOTICE = "endpoint rejects requests and asks for backoff"
+    RATE_LIMIT_NOTICE = "endpoint announces a rate limit for all daemons"
 
 
-# How often each is drawn: what the system must bear most often comes most often.
+# Relative frequency of each action, highest for what is most frequent in operation.
 _WEIGHTS: Final = {
     Action.STORE_PATH: 4,
     Action.ENDPOINT_PATH: 4,
@@ -64,19 +64,19 @@
     Action.CONFIGURE: 3,
     Action.VERSION: 1,
 }
-# In a part of the plans a request that ends engines comes again and again, for seconds.
+# Fraction of plans with a repeated poison request, and its duration in seconds.
 POISON_FRACTION: Final = 0.5
 POISON_DURATION: Final = 10.0
-# Keys are taken away so often beside all that, seconds.
+# Mean interval between revocations of a key, seconds.
 MEAN_REVOKE_INTERVAL: Final = 3.0
-# Endpoints speak for themselves, and the store comes back from a copy, so often,
-# seconds.
+# Mean intervals between notices of endpoints and between restores of the store from a
+# backup, seconds.
 MEAN_NOTICE_INTERVAL: Final = 5.0
 MEAN_RESTORE_INTERVAL: Final = 15.0
-# What the store loses, or how long an endpoint rests, seconds.
+# Range of the time of writes lost by a restore, or of a backoff, seconds.
 NOTICE_DURATIONS: Final = (1.0, 4.0)
-# Limits come so often, and hold for longer than the window in which they are counted,
-# seconds.
+# Mean interval between rate limits, and their durations, seconds. The durations exceed
+# the window in which calls are counted.
 MEAN_LIMIT_INTERVAL: Final = 8.0
 LIMIT_DURATIONS: Final = (6.0, 9.0)
 _FAULT_MODES: Final = [mode for mode in ProxyMode if mode is not ProxyMode.PASS]
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True)
 class Step:
-    """One thing done at a moment, seconds from the start; ``target`` is a number."""
+    """One action at a time in seconds from the start; ``target`` is a number."""
 
     at: float
     duration: float
@@ -94,11 +94,14 @@
 
     def __str__(self) -> str:
         how = f" ({self.mode.value})" if self.action.value.startswith("path") else ""
-        return f"{self.at:6.2f} +{self.duration:.2f} {self.action.value}{how} {self.target}"
+        return (
+            f"{self.at:6.2f} +{self.duration:.2f} "
+            f"{self.action.value}{how} {self.target}"
+        )
 
 
 def make_plan(seed: int, seconds: float) -> list[Step]:
-    """Return the steps of a seed: the same for the same seed and length."""
+    """Return the steps for a seed, equal for equal seeds and lengths."""
     draw = random.Random(seed)
     steps = []
     at = FIRST_FAULT_AT
@@ -115,7 +118,8 @@
             )
         )
         at += draw.expovariate(1 / MEAN_PAUSE)
-    # Drawn apart, so that each seed's other steps stay as they were.
+    # Each kind has its own generator, so that adding one leaves the other steps of a
+    # seed unchanged.
     steps.extend(_draw_revocations(random.Random(f"keys {seed}"), seconds))
     steps.extend(_draw_poison(random.Random(f"poison {seed}"), seconds))
     steps.extend(_draw_notices(random.Random(f"notices {seed}"), seconds))
@@ -134,9 +138,9 @@
 
 
 def _draw_times(draw: random.Random, mean: float, seconds: float) -> Iterator[float]:
-    """Yield moments that are ``mean`` seconds apart on average.
+    """Yield times that are ``mean`` seconds apart on average.
 
-    Each pause is drawn after what is drawn for the moment before it.
+    Each pause is drawn after the caller's draws for the preceding time.
     """
     at = FIRST_FAULT_AT + draw.expovariate(1 / mean)
     while at < seconds:
--- a/bench/faultsoak/proxy.py
+++ b/bench/faultsoak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts one way or silences connections."""
+"""Loopback proxy that delays or resets connections or drops their bytes."""
 
 import asyncio
 import contextlib
@@ -11,21 +11,21 @@
 
 
 class ProxyMode(Enum):
-    """What becomes of the bytes that cross."""
+    """Treatment of forwarded bytes."""
 
     PASS = "pass"
     DELAY = "delay"
-    # Open connections are reset once, and new ones at once.
+    # Open connections are reset when the mode is set, new ones on accept.
     RESET = "reset"
-    # Bytes of one direction are swallowed.
+    # Bytes of one direction are dropped.
     CUT_TO_TARGET = "cut to target"
     CUT_FROM_TARGET = "cut from target"
-    # Connections are taken, and nothing crosses.
+    # Connections are accepted, and all bytes are dropped.
     SILENT = "silent"
 
 
 class Proxy:
-    """Passes connections to a target; its mode holds for open ones too."""
+    """Forwards connections to a target; the mode applies to open ones too."""
 
     def __init__(self, target: int = 0) -> None:
         self.target = target
@@ -41,16 +41,16 @@
         return self.port
 
     def set_mode(self, mode: ProxyMode) -> None:
-        """Change what becomes of the bytes from now on."""
+        """Change the treatment of bytes from now on."""
         before, self.mode = self.mode, mode
         dropped_bytes = before not in (ProxyMode.PASS, ProxyMode.DELAY)
         if mode is ProxyMode.RESET or dropped_bytes:
-            # What was swallowed cannot be made good: the connection has to end.
+            # Dropped bytes cannot be recovered, so the connection is reset.
             for writer in self._writers:
                 writer.transport.abort()
 
     def close(self) -> None:
-        """Stop listening and reset what is open."""
+        """Stop listening and reset open connections."""
         if self._server is not None:
             self._server.close()
         for writer in self._writers:
@@ -64,7 +64,7 @@
             if self.mode is not ProxyMode.RESET:
                 await self._forward(reader, writer)
         except OSError:
-            # The target does not listen: the caller sees a reset, as without a proxy.
+            # The target does not listen: the client sees a reset, as without a proxy.
             pass
         finally:
             self._writers.discard(writer)
@@ -79,7 +79,7 @@
         from_target = self._pump(target_reader, writer, ProxyMode.CUT_FROM_TARGET)
         tasks = [asyncio.create_task(each) for each in (to_target, from_target)]
         try:
-            # When one side has ended, what the other still says is passed on.
+            # After the client has closed its side, the answer is still forwarded.
             await tasks[1]
         finally:
             for task in tasks:
--- a/bench/faultsoak/run.py
+++ b/bench/faultsoak/run.py
@@ -1,4 +1,4 @@
-"""Run the soak: one seed makes one plan; a seed that fails prints it and is shrunk."""
+"""Run the soak: each seed gives a plan; a failing plan is printed and can be shrunk."""
 
 import asyncio
 import contextlib
@@ -25,38 +25,39 @@
 from kestreltally.objectapi.http import open_session
 from standins.platform_engine import HEARTBEAT, POISON_PREFIX
 
-# Requests a second by each daemon's client, and how many adapters they name: more than
-# there are places, so that orders are given all the time.
+# Requests per second of each daemon's client, and number of adapters that they name.
+# There are more adapters than places, so that orders are sent all the time.
 RATE: Final = 8.0
 ADAPTERS: Final = 30
-# The part of requests for models, and the exponent of how often adapters are named.
+# Fraction of requests for models, and exponent of the Pareto distribution of adapters.
 MODEL_FRACTION: Final = 0.6
 ADAPTER_TAIL: Final = 0.8
-# The parts of requests by organisation, in the order in which they got their keys, and
-# how often one uses the key that was taken away last.
+# Fractions of requests by organisation, in the order in which their keys were issued,
+# and fraction of requests that use the key that was revoked last.
 ORGANISATION_FRACTIONS: Final = (0.5, 0.25, 0.25)
 REVOKED_KEY_FRACTION: Final = 0.4
 PROBE_INTERVAL: Final = 0.5
 READY_TIMEOUT: Final = 15.0
-# Until leaders are chosen and engines listed, seconds.
+# Time for the election of leaders and listing of engines, seconds.
 SETTLE_TIME: Final = 1.0
-# After the last disturbance all must be served again, seconds and part of requests.
+# Time after the last disturbance, seconds, and fraction of requests that must be
+# served from then on.
 RECOVERY_TIME: Final = 12.0
 MIN_RECOVERED_FRACTION: Final = 0.9
 MEASURE_DURATION: Final = 3.0
 LEAVING_DURATION: Final = 4.0
-# Two of the stand-ins' heartbeats: until the store knows what an entry says.
+# Two heartbeats of the stand-ins, within which an entry is written to the store.
 ENTRY_WRITE_TIME: Final = 2 * HEARTBEAT
-# How slow a slow store is, seconds, and which part of its answers it loses.
+# Delay of a slow store, seconds, and fraction of answers that a store loses.
 STORE_DELAY: Final = 0.2
 STORE_LOSS_FRACTION: Final = 0.3
 MAX_SHRINK_RUNS: Final = 12
-# How soon a request that ends engines comes again, seconds.
+# Range of pauses between poison requests, seconds.
 POISON_REPEAT_INTERVALS: Final = (0.2, 1.0)
 POISON_TEXT: Final = POISON_PREFIX.decode()
 
 RunPlan = Callable[[list[Step]], Coroutine[Any, Any, Checker]]
-# What is planned, and excuses nothing.
+# Planned actions during which all promises must hold.
 HARMLESS: Final = frozenset(
     {
         Action.RELOAD,
@@ -70,12 +71,13 @@
         Action.RATE_LIMIT_NOTICE,
     }
 )
-# How long the store is away before it comes back from a copy, and until the operators
-# have written again what they wrote since, seconds.
+# Downtime of the store before it is restored from a backup, and delay until operators
+# have rewritten what was lost, seconds.
 RESTORE_DOWNTIME: Final = 0.4
 REWRITE_DELAY: Final = 1.0
 
-# The limits that endpoints name, requests a second, and how they change.
+# Rate limits of endpoints, requests per second, and range of the factors by which they
+# vary.
 LIMITS: Final = (0.5, 2.9, 8.0)
 LIMIT_JITTER: Final = (0.8, 1.0)
 LIMIT_CHANGE_INTERVAL: Final = 0.5
@@ -85,7 +87,7 @@
 
 
 def performs(*actions: Action) -> Callable[[Perform], Perform]:
-    """Register what carries an action out."""
+    """Register the function that performs the actions."""
 
     def register(perform: Perform) -> Perform:
         PERFORMERS.update(dict.fromkeys(actions, perform))
@@ -96,33 +98,33 @@
 
 @dataclass
 class Soak:
-    """One soak under way."""
+    """One soak in progress."""
 
     system: SoakSystem
     checker: Checker
 
     def pick_daemon(self, step: Step) -> Daemon:
-        """Return the daemon that a step is about."""
+        """Return the target daemon of a step."""
         return self.system.daemons[step.target % len(self.system.daemons)]
 
     def pick_endpoint(self, step: Step) -> SoakEndpoint:
-        """Return the endpoint that a step is about; there always is a plain one."""
+        """Return the target endpoint of a step; at least one plain endpoint exists."""
         endpoints = self.system.endpoints
         return endpoints[step.target % len(endpoints)]
 
     def pick_engine(self, step: Step) -> SoakEndpoint | None:
-        """Return the engine that a step is about, none while all are down."""
+        """Return the target engine of a step, None while all are down."""
         engines = [e for e in self.system.endpoints if e.engine.service == "models"]
         return engines[step.target % len(engines)] if engines else None
 
     async def perform(self, step: Step) -> None:
-        """Carry a step out, and note how long it disturbed the system."""
+        """Perform a step, and record how long it disturbed the system."""
         if step.action in HARMLESS:
             await PERFORMERS[step.action](self, step)
             return
         clock = asyncio.get_running_loop().time
         began = clock()
-        # Until it is over it disturbs without an end in sight.
+        # The end is unknown until the step is over.
         span = (began, float("inf"))
         self.checker.disturbances.append(span)
         await PERFORMERS[step.action](self, step)
@@ -135,7 +137,7 @@
             self.checker.healed.append(ended)
 
     async def send_requests(self, daemon: Daemon, seed: int) -> None:
-        """Keep asking a daemon, over connections that are kept while they hold."""
+        """Send requests to a daemon continuously, over persistent connections."""
         draw = random.Random(seed)
         async with open_session() as http:
             pending: set[asyncio.Task[object]] = set()
@@ -154,7 +156,7 @@
                 await asyncio.sleep(draw.expovariate(RATE))
 
     def pick_key(self, draw: random.Random) -> str:
-        """Return the key of one of the organisations, at times one taken away."""
+        """Return the key of a random organisation, sometimes a revoked one."""
         keys = self.system.keys
         (name,) = draw.choices(list(keys.current), ORGANISATION_FRACTIONS)
         if (
@@ -166,7 +168,7 @@
         return keys.current[name]
 
     async def probe(self, daemon: Daemon) -> None:
-        """Keep asking a daemon which configuration is in force."""
+        """Probe continuously which configuration a daemon applies."""
         async with open_session() as http:
             while True:
                 await self.checker.probe_configuration(http, daemon)
@@ -186,7 +188,7 @@
 
 
 async def disturb_path(proxy: Proxy, step: Step) -> None:
-    """Disturb what crosses a proxy for a while."""
+    """Set a proxy's fault mode for the duration of a step."""
     proxy.set_mode(step.mode)
     await asyncio.sleep(step.duration)
     proxy.set_mode(ProxyMode.PASS)
@@ -194,7 +196,7 @@
 
 @performs(Action.STORE_DOWN, Action.STORE_SLOW, Action.STORE_LOSES_ANSWERS)
 async def disturb_store(soak: Soak, step: Step) -> None:
-    """Have the store down, slow, or losing answers of writes."""
+    """Make the store unavailable, slow, or lose answers to writes."""
     faults = soak.system.store.faults
     settings: dict[Action, dict[str, Any]] = {
         Action.STORE_DOWN: {"down": True},
@@ -208,13 +210,13 @@
 
 @performs(Action.STORE_COMPACTS)
 async def compact_history(soak: Soak, _: Step) -> None:
-    """Have the store forget its history."""
+    """Compact the history of the store."""
     soak.system.store.compact()
 
 
 @performs(Action.STORE_RESTORED)
 async def restore_from_backup(soak: Soak, step: Step) -> None:
-    """Have the store lose what it acknowledged for a while."""
+    """Restore the store from a backup, losing the writes acknowledged since."""
     store = soak.system.store
     backup = store.make_snapshot()
     await asyncio.sleep(step.duration)
@@ -228,7 +230,7 @@
 
 @performs(Action.LEAVING_NOTICE)
 async def announce_leaving(soak: Soak, step: Step) -> None:
-    """Have an endpoint leave that cannot write so to the store; another comes."""
+    """Have an endpoint leave that can't write its state to the store; replace it."""
     endpoint = soak.pick_endpoint(step)
     if endpoint.leaving_at is not None or endpoint.announced_at is not None:
         return
@@ -242,7 +244,7 @@
 
 @performs(Action.BACKOFF_NOTICE)
 async def request_backoff(soak: Soak, step: Step) -> None:
-    """Have an endpoint turn all requests away for a while, and say for how long."""
+    """Have an endpoint reject all requests for a while, with Retry-After."""
     endpoint = soak.pick_endpoint(step)
     now = asyncio.get_running_loop().time()
     if now < endpoint.engine.backoff_until:
@@ -256,7 +258,7 @@
 
 @performs(Action.RATE_LIMIT_NOTICE)
 async def announce_rate_limit(soak: Soak, step: Step) -> None:
-    """Have an endpoint name a limit that changes a little all the time."""
+    """Have an endpoint announce a rate limit that varies slightly all the time."""
     endpoint = soak.pick_endpoint(step)
     engine = endpoint.engine
     if engine.limit is not None:
@@ -273,7 +275,7 @@
 
 @performs(Action.PAUSE)
 async def pause(soak: Soak, step: Step) -> None:
-    """Stop a daemon's process for a while, and let it go on."""
+    """Suspend a daemon's process for a while."""
     daemon = soak.pick_daemon(step)
     daemon.signal(signal.SIGSTOP)
     await asyncio.sleep(step.duration)
@@ -282,7 +284,7 @@
 
 @performs(Action.KILL)
 async def kill(soak: Soak, step: Step) -> None:
-    """Kill a daemon, which is then started again."""
+    """Kill a daemon and wait for its restart."""
     daemon = soak.pick_daemon(step)
     daemon.signal(signal.SIGKILL)
     await soak.system.wait_for_restart(daemon)
@@ -290,7 +292,7 @@
 
 @performs(Action.KILL_MANY)
 async def kill_many(soak: Soak, _: Step) -> None:
-    """Kill all daemons but one at the same moment."""
+    """Kill all daemons but one at once."""
     killed = soak.system.daemons[1:]
     for daemon in killed:
         daemon.signal(signal.SIGKILL)
@@ -299,7 +301,7 @@
 
 @performs(Action.PLANNED_STOP)
 async def stop_as_planned(soak: Soak, step: Step) -> None:
-    """Have a daemon stop as planned, and start it again."""
+    """Stop a daemon as planned and wait for its restart."""
     daemon = soak.pick_daemon(step)
     daemon.signal(signal.SIGTERM)
     await soak.system.wait_for_restart(daemon)
@@ -307,13 +309,13 @@
 
 @performs(Action.RELOAD)
 async def reload(soak: Soak, step: Step) -> None:
-    """Tell a daemon that its settings have changed."""
+    """Signal a daemon to reload its settings."""
     soak.pick_daemon(step).signal(signal.SIGHUP)
 
 
 @performs(Action.ENGINE_CRASH)
 async def crash_engine(soak: Soak, step: Step) -> None:
-    """End an engine at once; a new start of it comes after a while."""
+    """Stop an engine at once, and start a new one after a while."""
     endpoint = soak.pick_engine(step)
     if endpoint is None:
         return
@@ -324,7 +326,7 @@
 
 @performs(Action.ENGINE_LEAVES)
 async def drain_endpoint(soak: Soak, step: Step) -> None:
-    """Have an endpoint leave as planned, once another has come."""
+    """Start a replacement for an endpoint, then drain and remove the endpoint."""
     endpoint = soak.pick_endpoint(step)
     if endpoint.leaving_at is not None:
         return
@@ -338,7 +340,7 @@
 
 @performs(Action.ENGINE_ERRORS)
 async def inject_errors(soak: Soak, step: Step) -> None:
-    """Have an endpoint answer 500 for a while."""
+    """Make an endpoint answer 500 for a while."""
     faults = soak.pick_endpoint(step).engine.faults
     faults.set(errors=True)
     await asyncio.sleep(step.duration)
@@ -347,20 +349,20 @@
 
 @performs(Action.CONFIGURE)
 async def configure(soak: Soak, _: Step) -> None:
-    """Put a new configuration in force."""
+    """Write a new configuration."""
     soak.system.version += 1
     await soak.system.configure()
 
 
 @performs(Action.REVOKE)
 async def revoke(soak: Soak, _: Step) -> None:
-    """Take a key away."""
+    """Revoke a key."""
     await soak.system.revoke()
 
 
 @performs(Action.POISON)
 async def repeat_poison(soak: Soak, step: Step) -> None:
-    """Have a request come again and again, at any daemon, that ends engines."""
+    """Send a poison request repeatedly, each time to a random daemon."""
     draw = random.Random(step.target)
     clock = asyncio.get_running_loop().time
     until = clock() + step.duration
@@ -373,12 +375,12 @@
 
 @performs(Action.VERSION)
 async def publish_version(soak: Soak, step: Step) -> None:
-    """Name a new version of an adapter."""
+    """Publish a new version of an adapter."""
     await soak.system.publish_version(f"a{step.target % ADAPTERS + 1}")
 
 
 async def run_plan(system: SoakSystem, plan: list[Step], daemons: int) -> Checker:
-    """Carry a plan out on a system that has not been started; return what was seen."""
+    """Start the system and run a plan on it; return the checker with its results."""
     checker = Checker(system)
     soak = Soak(system, checker)
     tasks: list[asyncio.Task[None]] = []
@@ -420,7 +422,7 @@
 
 
 async def _check_recovery(soak: Soak) -> None:
-    """Check that requests are served again some time after all disturbance."""
+    """Check that requests are served again after the last disturbance."""
     await asyncio.sleep(RECOVERY_TIME)
     since = asyncio.get_running_loop().time()
     await asyncio.sleep(MEASURE_DURATION)
@@ -428,11 +430,13 @@
     records = [record for record in records if soak.checker.must_be_served(record)]
     served = sum(record.status == 200 and record.whole for record in records)
     if not records or served < MIN_RECOVERED_FRACTION * len(records):
-        soak.checker.problems.append(f"recovered: {served} of {len(records)} served")
+        soak.checker.problems.append(
+            f"not recovered: {served} of {len(records)} served"
+        )
 
 
 async def shrink(plan: list[Step], run: RunPlan) -> list[Step]:
-    """Return a smaller plan that fails too, found within some runs."""
+    """Return a smaller plan that still fails, within a limited number of runs."""
     runs = 0
     part = len(plan) // 2
     while part and runs < MAX_SHRINK_RUNS:
@@ -450,7 +454,7 @@
 
 
 def report(checker: Checker, seed: int) -> None:
-    """Print what came of a seed."""
+    """Print the results of a seed."""
     statuses = Counter(record.status for record in checker.records)
     orders = sum(len(e.engine.holders) for e in checker.system.all_endpoints)
     click.echo(
@@ -465,10 +469,10 @@
 @click.command()
 @click.option("--seed", default=1, help="The first seed.")
 @click.option("--seeds", default=1, help="How many seeds, one after the other.")
-@click.option("--seconds", default=20.0, help="How long each plan disturbs.")
+@click.option("--seconds", default=20.0, help="Length of each plan, in seconds.")
 @click.option("--daemons", default=4)
 @click.option("--base-port", default=23_000)
-@click.option("--keep", type=Path, help="Where logs of failed seeds are kept.")
+@click.option("--keep", type=Path, help="Directory for the logs of all seeds.")
 @click.option("--shrunk/--whole", default=False, help="Shrink a plan that fails.")
 def main(
     seed: int,
@@ -479,8 +483,8 @@
     keep: Path | None,
     shrunk: bool,
 ) -> None:
-    """Soak true daemons under faults; exit 0 only if no promise was broken."""
-    # The stand-ins' servers run here, and tell of each connection that a fault breaks.
+    """Run daemon processes under faults; exit with 0 only if no check failed."""
+    # The stand-ins' servers run in this process, and would log each broken connection.
     logging.disable(logging.ERROR)
     failed = []
     for number in range(seed, seed + seeds):
--- a/bench/faultsoak/system.py
+++ b/bench/faultsoak/system.py
@@ -1,7 +1,8 @@
-"""The system under soak: true daemons as processes, and stand-ins around them.
+"""The system under soak: daemon processes, with stand-ins for their environment.
 
-The store and the endpoints run in this process, so that what they see can be checked
-at once. Each daemon reaches the store, and all daemons each endpoint, by a proxy.
+The store and the endpoints run in this process, so that their records can be checked
+directly. Each daemon connects to the store through its own proxy, and all daemons
+connect to an endpoint through the endpoint's proxy.
 """
 
 import asyncio
@@ -30,22 +31,22 @@
 from standins.platform_store import PlatformStore, make_store_app
 
 PORTS_PER_DAEMON: Final = 10
-# Endpoints of one data centre by service.
+# Number of endpoints of each service in one data centre.
 ENDPOINTS: Final = {"models": 2, "plain": 1}
-# Streams of a third of a second: some are under way whenever something happens.
+# Streams take a third of a second, so that some are in flight at each fault.
 EVENT_TIME: Final = 0.06
-# How long the platform waits before it starts a daemon again.
+# Delay before the platform restarts a daemon.
 RESTART_DELAY: Final = 0.4
 WATCH_INTERVAL: Final = 0.02
-# An engine that a request has ended is back after so long, its old entry gone.
+# Delay before an engine that a request has crashed is restarted.
 CRASH_RESTART_DELAY: Final = 1.0
-# A planned stop ends with 0, or by its signal where the daemon had only just started.
+# A planned stop exits with 0, or by its signal if the daemon had only just started.
 EXPECTED_EXIT_CODES: Final = frozenset({0, -signal.SIGKILL, -signal.SIGTERM})
 
 
 @dataclass
 class Daemon:
-    """One daemon's place, and the process that runs there now."""
+    """One daemon's addresses and files, and its current process."""
 
     vm: str
     data_centre: str
@@ -62,26 +63,26 @@
         return f"http://{HOST}:{self.port}"
 
     def signal(self, number: signal.Signals) -> None:
-        """Send the process a signal, if it lives."""
+        """Send the process a signal if it is running."""
         if self.process is not None and self.process.poll() is None:
             self.process.send_signal(number)
 
 
 @dataclass
 class SoakEndpoint:
-    """One start of an endpoint behind its proxy."""
+    """One incarnation of an endpoint behind its proxy."""
 
     engine: PlatformEngine
     proxy: Proxy
     runner: web.AppRunner
     leaving_at: float | None = None
-    # Since when its answers say that it leaves.
+    # Time of its first leaving notice in answers.
     announced_at: float | None = None
 
 
 @dataclass
 class SoakSystem:
-    """All that runs, and all endpoints that ever ran."""
+    """All running processes and servers, and all endpoints that have ever run."""
 
     directory: Path
     base_port: int
@@ -101,7 +102,7 @@
 
     @property
     def all_endpoints(self) -> list[SoakEndpoint]:
-        """Return all starts of endpoints, also those that are gone."""
+        """Return all incarnations of endpoints, including removed ones."""
         return [*self.endpoints, *self.removed_endpoints]
 
     async def start(self, daemons: int) -> None:
@@ -149,20 +150,20 @@
         daemon.boots += 1
 
     async def supervise(self, daemon: Daemon) -> None:
-        """Start a daemon again whenever its process has ended, as the platform does."""
+        """Restart a daemon whenever its process has exited, as the platform does."""
         while True:
             await asyncio.sleep(WATCH_INTERVAL)
             if daemon.process is None or daemon.process.poll() is None:
                 continue
             if daemon.process.returncode not in EXPECTED_EXIT_CODES:
                 self.unexpected_exits.append(
-                    f"{daemon.vm} ended: {daemon.process.returncode}"
+                    f"{daemon.vm} exited with {daemon.process.returncode}"
                 )
             await asyncio.sleep(RESTART_DELAY)
             self.boot(daemon)
 
     async def wait_for_restart(self, daemon: Daemon) -> None:
-        """Wait until a daemon that is being ended has been started again."""
+        """Wait until a daemon that is being stopped has been restarted."""
         boots = daemon.boots
         while daemon.boots == boots:
             await asyncio.sleep(WATCH_INTERVAL)
@@ -192,9 +193,9 @@
         task.add_done_callback(self._crashes.discard)
 
     async def _crash(self, endpoint: SoakEndpoint) -> None:
-        """End an engine at once, and start it again, in turn under its id or another.
+        """Crash an engine and restart it, alternately under its own id and a new one.
 
-        Under its id its entry stays, and is written anew.
+        Under its own id the entry remains in the store and is overwritten.
         """
         if endpoint not in self.endpoints:
             return
@@ -213,7 +214,7 @@
             replacement.engine.born = max(replacement.engine.born, before.born + 1)
 
     async def remove_endpoint(self, endpoint: SoakEndpoint) -> None:
-        """End an endpoint at once; its entry goes from the store."""
+        """Stop an endpoint at once and remove its entry from the store."""
         if endpoint not in self.endpoints:
             return
         self.endpoints.remove(endpoint)
@@ -223,7 +224,7 @@
         await self.store.drop("servers", endpoint.engine.id)
 
     async def configure(self) -> None:
-        """Put the next configuration in the store: its route is named by its number."""
+        """Write the configuration; its probe route is named after its version."""
         routes = [
             make_route(f"/v{self.version}/", "plain", "unsafe"),
             make_route("/plain/", "plain", "unsafe"),
@@ -239,7 +240,7 @@
         self.configured_at = asyncio.get_running_loop().time()
 
     async def revoke(self) -> None:
-        """Take a key away, and give its organisation another."""
+        """Revoke a key and issue another to its organisation."""
         before = self.keys.issue(CHANGING)
         self.version += 1
         await self.configure()
@@ -247,7 +248,7 @@
         self.keys.issued_at[self.keys.current[CHANGING]] = self.configured_at
 
     async def publish_version(self, adapter: str) -> None:
-        """Put a new version of an adapter in the store."""
+        """Write a new version of an adapter to the store."""
         number = self.newest_versions.get(adapter, 1) + 1
         self.newest_versions[adapter] = number
         await self._write_version(adapter, number)
@@ -257,16 +258,16 @@
         await self.store.put("versions", f"{MODEL}.{adapter}", content)
 
     async def rewrite_objects(self) -> None:
-        """Write what the operators wrote, which the store may have lost."""
+        """Write the operators' objects again, which the store may have lost."""
         began = self.configured_at
         await self.configure()
-        # It was acknowledged before, and all its bounds run from then.
+        # The first write was acknowledged, so all bounds count from it.
         self.configured_at = began
         for adapter, number in self.newest_versions.items():
             await self._write_version(adapter, number)
 
     async def close(self) -> None:
-        """End every process and server that this system has started."""
+        """Stop all processes and servers that this system has started."""
         await asyncio.gather(*self._crashes, return_exceptions=True)
         for daemon in self.daemons:
             daemon.signal(signal.SIGCONT)
--- a/bench/fleet_demo.py
+++ b/bench/fleet_demo.py
@@ -1,8 +1,8 @@
-"""Show the users' platform's way once, as separate processes on loopback.
+"""Demo on the users' platform, as separate processes on loopback.
 
-A stand-in of the store, endpoints and three daemons in two data centres; requests are
-checked, a leader is killed, a configuration changes, a daemon stops as planned, and the
-daemons' lines explain one request. Exit 0 only if all was right.
+Runs stand-ins for the store and endpoints, and three daemons in two data centres. It
+checks answers, kills a leader, changes the configuration, has the log lines explain one
+request, and stops the daemons as planned. Exits with 0 only if all checks passed.
 """
 
 import asyncio
@@ -94,7 +94,7 @@
     store_port: int,
     bounds: Mapping[str, Any] = BOUNDS,
 ) -> dict[str, Any]:
-    """Return the settings that the platform lays for a daemon; ports count up."""
+    """Return a daemon's settings as the platform writes them; ports count up."""
     return {
         "NodeName": vm,
         "IpAddress": HOST,
@@ -109,13 +109,13 @@
 
 
 def read_events(text: str) -> list[dict[str, Any]]:
-    """Return what the events of a streamed answer say."""
+    """Return the data of the events of a streamed answer."""
     lines = [line for line in text.splitlines() if line.startswith("data:")]
     return [json.loads(line.removeprefix("data:")) for line in lines]
 
 
 class FleetCluster(Cluster):
-    """The processes of the platform's way."""
+    """The processes of the demo on the platform."""
 
     def __init__(self, spec: ClusterSpec) -> None:
         super().__init__(spec)
@@ -136,7 +136,7 @@
         return base + 1 + list(self.endpoints).index(name)
 
     async def start(self) -> None:
-        """Start everything and wait until it answers."""
+        """Start all processes and wait until they answer."""
         self.start_standin("store", "platform_store", {})
         async with ClientSession(timeout=ClientTimeout(total=1)) as http:
             await wait_for_answer(http, f"{self.url('store')}/faults")
@@ -157,7 +157,7 @@
         await asyncio.sleep(SETTLE_TIME)
 
     def start_fleet_daemon(self, vm: str) -> None:
-        """Start one daemon with the settings that the platform would lay."""
+        """Start one daemon with the settings that the platform would write."""
         port = self.port(vm)
         settings = make_settings(vm, self.vms[vm], port, self.port("store"))
         path = self.spec.directory / f"{vm}.json"
@@ -182,7 +182,7 @@
 
 
 class FleetDemo:
-    """The demonstration, with a count of what was wrong."""
+    """The steps of the demo, with a count of failed checks."""
 
     def __init__(self, cluster: FleetCluster, http: ClientSession) -> None:
         self._cluster = cluster
@@ -191,9 +191,9 @@
         self.failures = 0
 
     def check(self, passed: bool, description: str) -> None:
-        """Print one check."""
+        """Print and count the result of one check."""
         self.failures += not passed
-        click.echo(f"{'right' if passed else 'WRONG'}: {description}")
+        click.echo(f"{'passed' if passed else 'FAILED'}: {description}")
 
     async def send(self, vm: str, path: str, adapter: str = "") -> tuple[int, str]:
         """Send a request to a daemon; return status and body."""
@@ -206,7 +206,7 @@
             return response.status, await response.text()
 
     async def check_adapter(self, vm: str, adapter: str, description: str) -> None:
-        """Check that a request is answered whole by its adapter."""
+        """Check that a request gets a complete answer from its adapter."""
         status, text = await self.send(vm, "/models/ask", adapter)
         events = read_events(text)
         ran = {event["ran"] for event in events}
@@ -236,22 +236,22 @@
         self.explain(f"demo-{self._sent_count - 2}")
 
     def find_leader(self, data_centre: str) -> str:
-        """Return which daemon leads a data centre, by the daemons' lines."""
+        """Return the daemon that leads a data centre, from the log lines."""
         for vm in self._cluster.vms:
             for text in self.read_log(vm):
                 line = json.loads(text)
                 is_held = line.get("event") == "lease: held"
                 if is_held and line.get("lease") == data_centre:
                     return vm
-        raise TimeoutError(f"nobody leads {data_centre}")
+        raise TimeoutError(f"no daemon leads {data_centre}")
 
     def read_log(self, vm: str) -> list[str]:
-        """Return a daemon's lines so far."""
+        """Return a daemon's log lines so far."""
         path = self._cluster.spec.directory / f"{vm}.log"
         return path.read_text(encoding="utf-8").splitlines()
 
     def explain(self, request: str) -> None:
-        """Have the command line explain a request."""
+        """Run the command that explains a request from the logs."""
         logs = [self._cluster.spec.directory / f"{vm}.log" for vm in self._cluster.vms]
         command = [sys.executable, "-m", "kestreltally.cli.main", "logs", "explain"]
         done = subprocess.run(
@@ -262,7 +262,7 @@
             cwd=REPOSITORY,
         )
         click.echo(done.stdout + done.stderr, nl=False)
-        self.check(done.returncode == 0, f"the lines explain {request}")
+        self.check(done.returncode == 0, f"the log lines explain {request}")
 
 
 async def _demonstrate(directory: Path, base_port: int) -> bool:
@@ -282,12 +282,12 @@
 @click.command()
 @click.option("--base-port", default=21_000)
 def main(base_port: int) -> None:
-    """Show the platform's way once."""
+    """Run the demo on the platform."""
     with tempfile.TemporaryDirectory() as directory:
         try:
             passed = asyncio.run(_demonstrate(Path(directory), base_port))
         except TimeoutError as error:
-            click.echo(f"WRONG: {error!r}")
+            click.echo(f"FAILED: {error!r}")
             passed = False
         conclude_demo(Path(directory), passed=passed)
 
--- a/bench/logcost.py
+++ b/bench/logcost.py
@@ -1,8 +1,7 @@
-"""What the decision lines cost in processor time and bytes.
+"""Measure the CPU time and bytes of decision log lines.
 
-Measured at the usual rate, at ten times that, and with a reader that has stopped.
-
-One daemon at its peak on the first sites ends some 35 requests a second.
+Measures the usual rate, ten times that rate, and a reader that has stopped. The usual
+rate is that of one daemon at peak on the first sites, some 35 requests per second.
 """
 
 import asyncio
@@ -26,7 +25,7 @@
 
 @dataclass(frozen=True)
 class LogCost:
-    """What the lines of one run cost."""
+    """Cost of the log lines of one run."""
 
     case: str
     lines: int
@@ -36,7 +35,7 @@
 
 
 class _Reader(threading.Thread):
-    """Reads the lines, or does not."""
+    """Reads the lines, or leaves the pipe unread."""
 
     def __init__(self, descriptor: int, *, is_reading: bool) -> None:
         super().__init__(daemon=True)
@@ -55,7 +54,7 @@
 
 
 async def log_requests(rate: int) -> float:
-    """Log what a request logs, so many a second; return the longest call, seconds."""
+    """Log the line of a request at a rate; return the longest call in seconds."""
     longest_call = 0.0
     for number in range(int(rate * SECONDS)):
         began = time.perf_counter()
@@ -81,7 +80,7 @@
 
 
 def measure(case: str, rate: int, *, is_reading: bool) -> LogCost:
-    """Return what the lines cost at a rate."""
+    """Return the cost of the lines at a rate."""
     source, target = os.pipe()
     reader = _Reader(source, is_reading=is_reading)
     reader.start()
@@ -102,7 +101,7 @@
 
 
 async def _idle(rate: int) -> None:
-    """Do the same without any line."""
+    """Run the same loop without logging, as the baseline."""
     for _ in range(int(rate * SECONDS)):
         await asyncio.sleep(1 / rate)
 
--- a/bench/path.py
+++ b/bench/path.py
@@ -1,7 +1,8 @@
-"""What the way through a daemon adds, beside the way straight to the engine.
+"""Measure the latency that a daemon adds to direct access to the engine.
 
-Both in one run, in turn: time to the first token and between tokens, and how many
-tokens a second one daemon relays with 50 streams, by its own processor time.
+Both paths alternate in one run. Reported are the time to the first token, the time
+between tokens, and the tokens that one daemon relays per second of its CPU time with
+50 streams.
 """
 
 import asyncio
@@ -29,14 +30,14 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """Seconds to the first token and between the later ones."""
+    """Time to the first token and times between later tokens, in seconds."""
 
     first: float
     gaps: tuple[float, ...]
 
 
 async def stream(http: ClientSession, url: str, headers: dict[str, str]) -> Sample:
-    """Stream one answer; return its times."""
+    """Stream one answer; return the times of its tokens."""
     body = {
         "model": ADAPTER,
         "prompt": "p",
@@ -56,7 +57,7 @@
 
 
 async def count_tokens(http: ClientSession, url: str, headers: dict[str, str]) -> int:
-    """Stream one long answer; return its events."""
+    """Stream one long answer; return the number of its tokens."""
     body = {
         "model": ADAPTER,
         "prompt": "p",
@@ -74,7 +75,7 @@
 
 
 def read_cpu(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the CPU seconds that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
 
@@ -94,7 +95,7 @@
 
 
 async def run(directory: Path, base_port: int) -> None:
-    """Run both measurements."""
+    """Measure latency on both paths, then the throughput of the relay."""
     spec = ClusterSpec(
         directory=directory,
         base_port=base_port,
@@ -141,7 +142,7 @@
             took, used = time.perf_counter() - begin, read_cpu(pid) - before
             click.echo(
                 f"relay: {sum(counts)} tokens over {STREAMS} streams in {took:.2f} s; "
-                f"{sum(counts) / used:.0f} tokens per processor second of the daemon"
+                f"{sum(counts) / used:.0f} tokens per CPU second of the daemon"
             )
         await cluster.stop()
     finally:
@@ -151,7 +152,7 @@
 @click.command()
 @click.option("--base-port", default=22_000)
 def main(base_port: int) -> None:
-    """Measure what the way through a daemon adds."""
+    """Measure the latency that a daemon adds."""
     with tempfile.TemporaryDirectory() as directory:
         asyncio.run(run(Path(directory), base_port))
 
--- a/bench/play.py
+++ b/bench/play.py
@@ -1,4 +1,4 @@
-"""Keep stand-ins and three daemons running for play, until ``down``."""
+"""Run stand-ins and three daemons for manual tests, until ``down``."""
 
 import asyncio
 import contextlib
@@ -22,14 +22,16 @@
 
 @click.group()
 def main() -> None:
-    """Start or stop everything for play."""
+    """Start or stop a cluster for manual tests."""
 
 
 @main.command()
 def up() -> None:
-    """Start everything."""
+    """Start the cluster."""
     if STATE.exists():
-        raise click.ClickException("it is up already; 'make down' stops it")
+        raise click.ClickException(
+            "the cluster is already running; 'make down' stops it"
+        )
     cluster = Cluster(ClusterSpec(directory=DIRECTORY))
     asyncio.run(cluster.start())
     pids = {name: process.pid for name, process in cluster.processes.items()}
@@ -46,7 +48,7 @@
 
 
 def _is_running(pid: int) -> bool:
-    """Tell whether a process is one that ``up`` started."""
+    """Return whether a process is a stand-in or daemon, as ``up`` starts them."""
     try:
         command = Path(f"/proc/{pid}/cmdline").read_bytes()
     except OSError:
@@ -56,9 +58,9 @@
 
 @main.command()
 def down() -> None:
-    """Stop what ``up`` started: daemons as planned, then the stand-ins."""
+    """Stop the cluster: daemons as planned, then the stand-ins."""
     if not STATE.exists():
-        raise click.ClickException("it is not up")
+        raise click.ClickException("the cluster is not running")
     pids = json.loads(STATE.read_text(encoding="utf-8"))
     running = {name: pid for name, pid in pids.items() if _is_running(pid)}
     daemons = {name: pid for name, pid in running.items() if name.startswith("vm-")}
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
-"""Measure what each thing costs one daemon, at several sizes, and fit the slopes.
+"""Measure the costs of one daemon at several sizes, and fit their slopes.
 
-The daemon's own code runs on one core with nothing else around it; the figures are
-processor time of this process. The tables that come out are those of
-docs/CAPACITY.md, which ``--write`` puts into the page.
+The daemon's code runs on one core in this process, and costs are CPU time of the
+process. The resulting tables are those of docs/CAPACITY.md; ``--write`` writes them
+into the page.
 """
 
 import asyncio
@@ -79,7 +79,7 @@
 
 
 def make_test_world(vm: str = "vm-0", port: int = 1) -> World:
-    """Return the empty tables of a daemon for measuring."""
+    """Return a daemon's world with empty tables."""
     assert SYSTEMS
     side = {"host": "127.0.0.1", "port": port}
     settings = check_settings(
@@ -97,7 +97,7 @@
 
 
 def add_members(world: World, count: int) -> None:
-    """Put daemons into the tables, as alive as any."""
+    """Add daemons to the tables, all in state ALIVE."""
     for number in range(1, count):
         vm = VmId(f"vm-{number}")
         centre = DataCentre(f"dc-{number % 12}")
@@ -122,7 +122,7 @@
 
 
 def add_config(world: World, adapters: int, endpoints: int) -> None:
-    """Put a configuration into force."""
+    """Apply a configuration with adapters and endpoints."""
     objects = [
         ConfigObject(
             kind="adapter",
@@ -161,7 +161,7 @@
 
 
 def lead(world: World, endpoint: str) -> None:
-    """Make a world lead an endpoint that holds ``ADAPTER``."""
+    """Make a world lead an endpoint that has ``ADAPTER`` loaded."""
     name = EndpointId(endpoint)
     record = LeaderRecord(name, world.identity.vm, 1, 1, "c", 1)
     world.leaders.records[name] = record
@@ -176,7 +176,7 @@
 
 
 def measure_cpu(work: Callable[[], Any], per: int) -> float:
-    """Return the median processor time of one of ``per`` things, in microseconds."""
+    """Return the median CPU time of ``work`` divided by ``per``, in microseconds."""
     times = []
     for _ in range(REPEATS):
         gc.collect()
@@ -187,7 +187,7 @@
 
 
 def measure_memory(work: Callable[[], Any]) -> int:
-    """Return the bytes that are held after ``work``."""
+    """Return the bytes still allocated after ``work``."""
     gc.collect()
     tracemalloc.start()
     retained = work()
@@ -199,7 +199,7 @@
 
 
 def fit(name: str, unit: str, points: Sequence[tuple[float, float]]) -> Slope:
-    """Fit a straight line; the residual is the largest miss over the largest value."""
+    """Fit a line; the residual is the largest deviation over the largest value."""
     xs, ys = [x for x, _ in points], [y for _, y in points]
     if len(points) == 1:
         return Slope(name, unit, base=0.0, slope=ys[0] / xs[0], residual=0.0, points=())
@@ -210,7 +210,7 @@
 
 
 def run_ticks(world: World, count: int) -> None:
-    """Run ticks with nothing coming in."""
+    """Run ticks without input."""
     for _ in range(count):
         run_step(world, world.now + TICK)
         for member in world.members.pending.copy():
@@ -219,7 +219,7 @@
 
 
 def measure_ticks(sizes: Sequence[int], build: Callable[[int], World]) -> list[Any]:
-    """Return processor microseconds for one second of ticks, for each size."""
+    """Return CPU microseconds per second of ticks for each size."""
     found = []
     for size in sizes:
         world = build(size)
@@ -230,7 +230,7 @@
 
 
 def build_members(count: int) -> World:
-    """Return a world with so many daemons."""
+    """Return a world with ``count`` daemons."""
     world = make_test_world()
     add_members(world, count)
     add_config(world, 100, 36)
@@ -238,7 +238,7 @@
 
 
 def build_adapters(count: int) -> World:
-    """Return a world with so many adapters, all idle."""
+    """Return a world with ``count`` idle adapters."""
     world = make_test_world()
     add_members(world, 12)
     add_config(world, count, 36)
@@ -246,7 +246,7 @@
 
 
 def build_endpoints(count: int) -> World:
-    """Return a world with so many endpoints, three of them led here."""
+    """Return a world with ``count`` endpoints that leads three of them."""
     world = make_test_world()
     add_members(world, 1100)
     add_config(world, 100, count)
@@ -256,7 +256,7 @@
 
 
 def encode(messages: Sequence[PeerMessage]) -> bytes:
-    """Return the bytes that messages take on the wire."""
+    """Return messages as encoded on the wire."""
     buffer = TMemoryBuffer()
     protocol = TBinaryProtocolFactory().get_protocol(buffer)
     envelope = Envelope(VmId("vm-0"), 1, 0.0, tuple(messages))
@@ -265,7 +265,7 @@
 
 
 def transfer(orders: Sequence[Any], to: World, sender: World) -> int:
-    """Carry messages from one world's outbox to another, coded; return the bytes."""
+    """Transfer messages from an outbox to a world, encoded; return the bytes."""
     messages = [order.message for order in orders if isinstance(order, SendMessage)]
     if not messages:
         return 0
@@ -278,7 +278,7 @@
 
 @dataclass
 class PermitRoundTrip:
-    """Requests that go from an entry daemon to a leader and back."""
+    """Permit requests from an entry daemon to a leader and back."""
 
     entry: World
     leader: World
@@ -287,7 +287,7 @@
     leader_cpu: float = 0.0
 
     def step_entry(self) -> None:
-        """Run one wake of the entry daemon, and carry its messages."""
+        """Run one step of the entry daemon and transfer its messages."""
         begin = time.process_time()
         run_step(self.entry, self.entry.now + 0.0001, woken=True)
         return_permits(self.entry)
@@ -296,7 +296,7 @@
         self.entry_cpu += time.process_time() - begin
 
     def step_leader(self) -> None:
-        """Run one wake of the leader, and carry its messages."""
+        """Run one step of the leader and transfer its messages."""
         begin = time.process_time()
         run_step(self.leader, self.leader.now + 0.0001, woken=True)
         orders, self.leader.outbox = self.leader.outbox, []
@@ -304,7 +304,7 @@
         self.leader_cpu += time.process_time() - begin
 
     def serve(self, number: int) -> None:
-        """Bring one request through its permit and back."""
+        """Acquire and return the permit of one request."""
         waiter = Waiter(
             waiter=str(number),
             request=RequestId(f"till:{number}"),
@@ -333,7 +333,7 @@
 
 
 def measure_permits(members: int, count: int = 300) -> tuple[float, float, float]:
-    """Return µs at the entry, µs at the leader and bytes, for one request."""
+    """Return µs at the entry, µs at the leader and bytes per request."""
     entry, leader = make_test_world("vm-0"), make_test_world("vm-1", port=2)
     for world, other in ((entry, leader), (leader, entry)):
         add_members(world, members)
@@ -362,7 +362,7 @@
 
 
 def measure_change(count: int = 300) -> tuple[float, float]:
-    """Return µs and bytes for one change, taken in and written for a push."""
+    """Return µs and bytes per change, applied and encoded for a push."""
     world = make_test_world()
     add_config(world, 1000, 36)
     sizes = []
@@ -382,7 +382,7 @@
 
 
 def measure_heartbeat() -> tuple[float, float]:
-    """Return the bytes of a heartbeat with its answer: without and with rumours."""
+    """Return the bytes of a heartbeat and its answer, without and with rumours."""
     world = make_test_world()
     add_members(world, 50)
     sizes = []
@@ -397,7 +397,7 @@
 
 
 def measure_heartbeat_cpu(count: int = 2_000) -> float:
-    """Return µs to read a heartbeat, answer it and write the answer."""
+    """Return µs to decode a heartbeat, answer it and encode the answer."""
     world, other = make_test_world(), make_test_world("vm-1", port=2)
     for each in (world, other):
         add_members(each, 50)
@@ -434,12 +434,12 @@
 
 
 def measure_report(count: int = 500) -> float:
-    """Return µs of a report fetched, with both ends on this core."""
+    """Return µs per fetched report, client and server together."""
     return measure_cpu(lambda: asyncio.run(_fetch_reports(count)), count)
 
 
 def measure_relay(count: int = 20_000) -> float:
-    """Return µs to follow one token of an answer."""
+    """Return µs per relayed token of an answer."""
     event = (
         b'data: {"id":"till:1/vm-0.1/1","model":"a@1","choices":'
         b'[{"index":0,"token_ids":[7],"text":" word"}]}\n\n'
@@ -454,7 +454,7 @@
 
 
 def measure_events(count: int = 20_000) -> tuple[float, float]:
-    """Return µs and bytes of one event of the time line."""
+    """Return µs and bytes per event of the timeline."""
 
     def add() -> Any:
         world = make_test_world()
@@ -474,7 +474,7 @@
 
 def measure_idle_memory() -> float:
     """Return the resident megabytes of a process that has only imported the daemon."""
-    # The peak that getrusage gives would be this process's own, kept through exec.
+    # getrusage would give the peak of this process, which is inherited through exec.
     code = (
         "import resource, kestreltally.daemon;"
         "pages = int(open('/proc/self/statm').read().split()[1]);"
@@ -487,7 +487,7 @@
 
 
 def measure_owners(members: int, endpoints: int) -> float:
-    """Return µs to work all owners out anew after a change of members."""
+    """Return µs to recompute all owners after a change of members."""
     world = make_test_world()
     add_members(world, members)
     add_config(world, 10, endpoints)
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the systems around the daemons, one module each."""
+"""Test doubles for the systems around the daemons, one module each."""
--- a/standins/common.py
+++ b/standins/common.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: their command line, their start, their faults."""
+"""Command line, HTTP server and fault injection shared by all stand-ins."""
 
 import asyncio
 import contextlib
@@ -14,13 +14,13 @@
 
 
 class Faults:
-    """Faults that are switched on and off over HTTP, by name."""
+    """Injected faults, set by name over HTTP."""
 
     def __init__(self, **defaults: Any) -> None:
         self._values = dict(defaults)
 
     def get(self, name: str) -> Any:
-        """Return the present value of a fault."""
+        """Return the current value of a fault."""
         return self._values[name]
 
     def set(self, **requested: Any) -> None:
@@ -28,11 +28,11 @@
         self._values.update(requested)
 
     async def show(self, http: web.Request) -> web.Response:
-        """Answer with all faults."""
+        """Serve the values of all faults."""
         return web.json_response(self._values)
 
     async def change(self, http: web.Request) -> web.Response:
-        """Set the faults in the body; an unknown name is an error."""
+        """Set the faults in the body; an unknown name gives status 400."""
         requested = await http.json()
         unknown = set(requested) - set(self._values)
         if unknown:
@@ -49,7 +49,7 @@
 
 
 async def serve(app: web.Application, port: int) -> None:
-    """Serve on loopback until cancelled."""
+    """Serve on the loopback interface until cancelled."""
     runner = web.AppRunner(app, access_log=None, handler_cancellation=True)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", port).start()
@@ -62,7 +62,7 @@
     make_app: Callable[[dict[str, Any]], web.Application],
     help_text: str,
 ) -> click.Command:
-    """Return the command line of a stand-in: a port and JSON options."""
+    """Return the command of a stand-in, which takes a port and JSON options."""
 
     @click.command(help=help_text)
     @click.option("--port", type=int, required=True)
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,8 +1,8 @@
 """Stand-in for a model engine.
 
-It batches continuously up to a limit, holds adapters in a few slots, obeys fenced
-orders, honours priorities, resumes and cancels, and reports with a lag. What it
-sees go wrong it counts: an adapter unloaded while it serves, above all.
+It batches continuously up to a limit, keeps adapters in a few slots, obeys fenced
+orders, honours priorities, resumes and cancels requests, and reports with a lag. It
+counts violations, above all an adapter that is unloaded while requests use it.
 """
 
 import asyncio
@@ -26,7 +26,7 @@
 
 @dataclass(order=True)
 class Job:
-    """A request that waits for its place in the batch, or runs."""
+    """A request that is queued for the batch or running."""
 
     priority: int
     serial: int
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True)
 class CacheEvent:
-    """A prefix that was cached or dropped; ``at`` is monotonic seconds."""
+    """A prefix that was cached or evicted; ``at`` is monotonic seconds."""
 
     number: int
     at: float
@@ -84,7 +84,7 @@
         self.restart()
 
     def restart(self) -> None:
-        """Lose everything that an engine holds in memory."""
+        """Restart with a new instance id and empty memory."""
         for job in getattr(self, "jobs", []):
             job.killed = True
         self.instance = f"{self._random.getrandbits(64):x}"
@@ -106,7 +106,7 @@
         return None
 
     async def raise_fence(self, http: web.Request) -> web.Response:
-        """Refuse older orders from now on."""
+        """Raise the fence: orders with a lower token are refused from now on."""
         await self._hang()
         body = await http.json()
         return self._apply_fence(body["token"]) or web.json_response({})
@@ -153,7 +153,10 @@
             return False
 
     async def unload(self, http: web.Request) -> web.Response:
-        """Unload an adapter version; what it serves is lost and counted."""
+        """Unload an adapter version.
+
+        Requests that use it are aborted and counted as a violation.
+        """
         await self._hang()
         body = await http.json()
         refused = self._apply_fence(body["token"])
@@ -191,7 +194,7 @@
         del self._reports[:-500]
 
     async def report(self, http: web.Request) -> web.Response:
-        """Serve the report as it was some time ago, with its age."""
+        """Serve a report that is at least ``report_lag`` seconds old, with its age."""
         await self._hang()
         now = time.monotonic()
         self._record_report()
@@ -207,7 +210,7 @@
         return web.json_response(body, status=409)
 
     async def complete(self, http: web.Request) -> web.StreamResponse:
-        """Run a request and stream its answer."""
+        """Run a request and stream the answer."""
         await self._hang()
         adapter = http.headers["X-Adapter-Version"]
         attempt = http.headers["X-Attempt-Id"]
@@ -296,7 +299,7 @@
         return response
 
     async def _prefill(self, prompt: str, done: int) -> None:
-        """Take less time for a prompt whose beginning is cached."""
+        """Wait for the prefill time, a fifth of it where the prefix is cached."""
         head = prompt[:PREFIX_LENGTH]
         is_cached = head in self._prefixes
         self._store_prefix(head)
@@ -305,7 +308,7 @@
         await asyncio.sleep(per_character * characters)
 
     def _store_prefix(self, head: str) -> None:
-        """Cache a prefix, and drop the least recent one where memory is short."""
+        """Cache a prefix; evict the least recently used one over the limit."""
         if head not in self._prefixes:
             self._record_cache_event("cached", head)
         self._prefixes[head] = None
@@ -322,14 +325,14 @@
         del self._cache_events[:-MAX_CACHE_EVENTS]
 
     async def show_cache_events(self, http: web.Request) -> web.Response:
-        """Serve the cache events after a number: late, and with gaps."""
+        """Serve the cache events after a number, delayed by the lag and with gaps."""
         after = int(http.query.get("after", "-1"))
         until = time.monotonic() - self._lag
         visible = [e for e in self._cache_events if e.number > after and e.at <= until]
         return web.json_response([asdict(event) for event in visible])
 
     async def change_role(self, http: web.Request) -> web.Response:
-        """Take a fenced order to prefill, to decode, or to do both."""
+        """Apply a fenced order that sets the role: prefill, decode or mixed."""
         await self._hang()
         body = await http.json()
         refused = self._apply_fence(body["token"])
@@ -341,14 +344,14 @@
         return web.json_response({"role": self.role})
 
     async def export_cache(self, http: web.Request) -> web.Response:
-        """Hand out the cache of a prompt's beginning, if it is held."""
+        """Serve the cache entry of a prompt's prefix, if it is cached."""
         head = http.query["prompt"][:PREFIX_LENGTH]
         if head not in self._prefixes:
             return web.json_response({"reason": "not_cached"}, status=404)
         return web.json_response({"prefix": head})
 
     async def import_cache(self, http: web.Request) -> web.Response:
-        """Take in a cache that another engine handed out."""
+        """Import a cache entry that another engine exported."""
         self._store_prefix((await http.json())["prefix"])
         return web.json_response({})
 
@@ -357,14 +360,14 @@
         http: web.Request,
         response: web.StreamResponse,
     ) -> web.StreamResponse:
-        """End a stream in the middle, without an end mark or an error."""
+        """Abort the connection within a stream, without an end mark or an error."""
         self.counts["cut"] += 1
         if http.transport is not None:
             http.transport.abort()
         return response
 
     async def show_counts(self, http: web.Request) -> web.Response:
-        """Show what was run and what went wrong."""
+        """Serve the counts of runs, violations and events, and the busy times."""
         self._measure()
         return web.json_response(
             {
@@ -378,13 +381,13 @@
         )
 
     async def handle_restart(self, http: web.Request) -> web.Response:
-        """Restart with nothing loaded."""
+        """Restart the engine on request."""
         self.restart()
         return web.json_response({})
 
 
 def read_prompt(body: dict[str, Any]) -> str:
-    """Return the prompt of either form of request."""
+    """Return the prompt of a completion or chat request."""
     if "messages" in body:
         return "\n".join(str(each.get("content", "")) for each in body["messages"])
     return str(body.get("prompt", ""))
--- a/standins/objects.py
+++ b/standins/objects.py
@@ -1,7 +1,7 @@
 """Stand-in for the platform's object API.
 
-Versions, conditional updates, watches, rate limits, outages, and answers that
-are lost after the change has taken effect.
+Implements versions, conditional updates, watches and rate limits. Faults: outages,
+slow answers, and answers that are lost after the write has taken effect.
 """
 
 import asyncio
@@ -79,7 +79,7 @@
         return web.json_response({"revision": self._revision, "objects": found})
 
     async def write(self, http: web.Request) -> web.Response:
-        """Write one object if its version is the expected one."""
+        """Write one object if it has the expected version."""
         refused = await self._refuse("writes")
         if refused is not None:
             return refused
@@ -103,7 +103,7 @@
         return web.json_response(stored)
 
     async def delete(self, http: web.Request) -> web.Response:
-        """Delete one object if its version is the expected one."""
+        """Delete one object if it has the expected version."""
         refused = await self._refuse("writes")
         if refused is not None:
             return refused
@@ -116,7 +116,7 @@
         return web.json_response(self._get(key))
 
     async def watch(self, http: web.Request) -> web.Response:
-        """Wait for changes under a prefix after a revision."""
+        """Wait for changes under a prefix after a revision, up to ``wait`` seconds."""
         refused = await self._refuse("reads")
         if refused is not None:
             return refused
@@ -141,7 +141,7 @@
         return self._respond_listing(prefix, after)
 
     async def show_calls(self, http: web.Request) -> web.Response:
-        """Show how many calls there were."""
+        """Serve the number of calls by kind."""
         return web.json_response(dict(self.calls))
 
 
--- a/standins/platform_engine.py
+++ b/standins/platform_engine.py
@@ -1,9 +1,10 @@
 """Stand-in for an endpoint of the users' platform: a model engine or a plain service.
 
-It keeps its entry in the store, takes orders by their expected count, reports with a
-lag, streams events that name what ran, and counts its runs by request. An engine
-ordered beyond its places falls: it loses all and starts anew. All its answers say when
-it leaves, and while it wants rest it turns requests away.
+It maintains its entry in the store, applies orders conditionally on their expected
+sequence number, serves reports, streams events that name the adapter version that ran,
+and counts its runs by request. An engine that is ordered to load more adapters than it
+has places for loses all of them, as by a restart. All its answers carry its notices:
+that it is leaving, and its rate limit. During a backoff it rejects all requests.
 """
 
 import asyncio
@@ -22,7 +23,7 @@
 
 HEARTBEAT: Final = 0.3
 LOAD_TIME: Final = 0.1
-# A request whose body begins so ends the engine that begins to run it.
+# A request whose body starts with this crashes the engine that starts to run it.
 POISON_PREFIX: Final = b"deadly"
 EVENT_TIME: Final = 0.01
 EVENTS: Final = 5
@@ -49,58 +50,58 @@
     loading: set[str] = field(default_factory=set)
     newest_versions: dict[str, int] = field(default_factory=dict)
     runs: Counter[str] = field(default_factory=Counter)
-    # When each run began, and each order came, by the loop's clock.
+    # Start time of each run and arrival time of each order, by the loop's clock.
     run_times: dict[str, float] = field(default_factory=dict)
-    # For whom each run was, as it was named, and which came with a client's key.
+    # Organisation headers of each run, and the runs that carried a client's key.
     organisations: dict[str, list[str]] = field(default_factory=dict)
     requests_with_key: set[str] = field(default_factory=set)
     holders: list[tuple[str, int]] = field(default_factory=list)
     order_times: list[float] = field(default_factory=list)
     faults: Faults = field(default_factory=lambda: Faults(silent=False, errors=False))
-    # When deadly requests began to run, by their bodies.
+    # Start times of poison requests, by body.
     poison_runs: dict[str, list[float]] = field(default_factory=dict)
-    # What its answers say of it, and until when it wants rest, by the loop's clock.
+    # Notice in its answers that it is leaving; end of its backoff, by the loop's clock.
     reports_leaving: bool = False
     backoff_until: float = 0.0
-    # It turns all requests away, and says neither why nor for how long.
+    # Rejects all requests, without a reason or a Retry-After header.
     sheds_load: bool = False
-    # How many requests a second it takes from all daemons, as its answers say.
+    # Rate limit in its answers: requests per second from all daemons together.
     limit: float | None = None
-    # Until when it writes no entry, by the loop's clock.
+    # It writes no entry until then, by the loop's clock.
     heartbeats_paused_until: float = 0.0
-    # When each request, and each call of any kind, reached it, by the loop's clock.
+    # Arrival times of requests, and of calls of any kind, by the loop's clock.
     arrivals: list[float] = field(default_factory=list)
     calls: list[float] = field(default_factory=list)
-    # When this start was, Unix milliseconds, and what ends it.
+    # Start time of this incarnation, Unix milliseconds; callback that crashes it.
     born: int = 0
     crash: Callable[[], None] = lambda: None
 
     def __post_init__(self) -> None:
-        """Begin as a new start, with nothing loaded."""
+        """Set a new id and the start time."""
         self.id = f"i-{uuid4().hex[:10]}"
         self.born = int(time.time() * 1000)
 
     def restart(self) -> None:
-        """Start anew under the same id: nothing of before is held or known."""
+        """Restart under the same id with nothing loaded."""
         self.born = max(self.born + 1, int(time.time() * 1000))
         self.sequence = self.heartbeats = 0
         self.loaded.clear()
         self.loading.clear()
 
     async def maintain_entry(self) -> None:
-        """Write the own entry to the store for ever."""
+        """Write this endpoint's entry to the store at each heartbeat, forever."""
         async with ClientSession() as session:
             while True:
                 if asyncio.get_running_loop().time() < self.heartbeats_paused_until:
                     await asyncio.sleep(HEARTBEAT)
                     continue
-                # With the store away the next heartbeat tries again.
+                # While the store is unavailable the next heartbeat retries.
                 with contextlib.suppress(ClientError, OSError):
                     await self._write_entry(session)
                 await asyncio.sleep(HEARTBEAT)
 
     def pause_heartbeats(self, duration: float) -> None:
-        """Write no entry for some seconds."""
+        """Write no entry for ``duration`` seconds."""
         self.heartbeats_paused_until = asyncio.get_running_loop().time() + duration
 
     async def _write_entry(self, session: ClientSession) -> None:
@@ -151,7 +152,7 @@
         )
 
     async def order(self, http: web.Request) -> web.Response:
-        """Take an order."""
+        """Apply an order."""
         self.calls.append(asyncio.get_running_loop().time())
         if http.headers.get("X-Expect-Instance", self.id) != self.id:
             return self._misdirect(http)
@@ -193,7 +194,7 @@
             self.loaded[name] = self.newest_versions.get(name, 1)
 
     async def add_notices(self, _: web.Request, answer: web.StreamResponse) -> None:
-        """Put into the head of an answer what the endpoint says of itself."""
+        """Add the endpoint's notices to the headers of an answer."""
         if self.reports_leaving:
             answer.headers["Server-Leaving"] = "1"
         if self.limit is not None:
@@ -216,7 +217,7 @@
         return web.Response(status=421, headers=headers)
 
     async def serve(self, http: web.Request) -> web.StreamResponse:
-        """Run a request, or say that it is not run."""
+        """Run a request, or answer that it was not run."""
         now = asyncio.get_running_loop().time()
         self.arrivals.append(now)
         self.calls.append(now)
@@ -287,7 +288,7 @@
 
 
 def make_app(options: dict[str, Any]) -> web.Application:
-    """Return an endpoint's application by its options."""
+    """Return an endpoint's application from its options."""
     return make_engine_app(PlatformEngine(**options))
 
 
--- a/standins/platform_store.py
+++ b/standins/platform_store.py
@@ -1,9 +1,9 @@
 """Stand-in for the store of the users' platform: objects by kind, and watches.
 
-One counter of revisions, conditional writes, listings in pages, watches that wait, and
-a history that can be forgotten. Faults: down, slow, answers lost after the write. It
-may come back from a copy of some seconds ago: what was written since is gone, revisions
-are given out again, and the era that all answers name rises by one.
+It has one revision counter, conditional writes, paged listings, watches that wait, and
+a history that can be compacted. Faults: down, slow, answers lost after the write. It
+can be restored from a backup that is some seconds old: later writes are lost, their
+revisions are assigned again, and the era in all answers rises by one.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True)
 class Event:
-    """A change of an object."""
+    """A change or deletion of an object."""
 
     kind: str
     item: dict[str, Any]
@@ -31,14 +31,14 @@
 
 @dataclass(frozen=True)
 class StoreSnapshot:
-    """All objects of a moment, and the revision then."""
+    """All objects at one moment, and the revision at that moment."""
 
     objects: dict[str, dict[str, dict[str, Any]]]
     revision: int
 
 
 class PlatformStore:
-    """Objects by kind and name, as the platform's pages describe them."""
+    """Objects by kind and name, as the platform's documentation specifies."""
 
     def __init__(self, options: dict[str, Any]) -> None:
         self.faults = Faults(down=False, slow=0.0, lose_answers=0.0)
@@ -52,11 +52,14 @@
         self.era = 0
 
     def make_snapshot(self) -> StoreSnapshot:
-        """Return what the store may come back from later."""
+        """Return a backup for ``restore``."""
         return StoreSnapshot(copy.deepcopy(self._objects), self._revision)
 
     async def restore(self, snapshot: StoreSnapshot, later_changes: int = 0) -> None:
-        """Come back from a copy, after which others have made some changes already."""
+        """Restore a backup and raise the era.
+
+        ``later_changes`` is the number of revisions that other writers have used since.
+        """
         self._objects = copy.deepcopy(snapshot.objects)
         self._revision = snapshot.revision + later_changes
         self._events = [e for e in self._events if e.revision <= snapshot.revision]
@@ -65,7 +68,7 @@
             self._changed.notify_all()
 
     async def add_era_header(self, _: web.Request, answer: web.StreamResponse) -> None:
-        """Put the era into the head of an answer, unless it is negative."""
+        """Add the era to the headers of an answer, unless it is negative."""
         if self.era >= 0:
             answer.headers["Store-Era"] = str(self.era)
 
@@ -128,7 +131,7 @@
         )
 
     async def write(self, http: web.Request) -> web.StreamResponse:
-        """Make or replace an object, if its revision is the one expected."""
+        """Create or replace an object if it has the expected revision."""
         refused = await self._apply_faults()
         if refused is not None:
             return refused
@@ -150,7 +153,7 @@
         return web.json_response(item)
 
     async def put(self, kind: str, name: str, content: Any) -> dict[str, Any]:
-        """Write an object, whatever its revision; return it."""
+        """Write an object unconditionally; return it."""
         current = self._objects.get(kind, {}).get(name)
         if current is not None and current["Specification"] == content:
             return current
@@ -174,14 +177,14 @@
         return web.json_response({})
 
     async def drop(self, kind: str, name: str) -> None:
-        """Remove an object, if it is there."""
+        """Remove an object if it exists."""
         item = self._objects.get(kind, {}).pop(name, None)
         if item is not None:
             self._revision += 1
             await self._publish(Event(kind, item, True, self._revision))
 
     def compact(self) -> None:
-        """Forget the history: watches from before are told so."""
+        """Drop the event history; watches from an older revision get status 410."""
         self._compacted_revision = self._revision
         self._events.clear()
 
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,4 +1,4 @@
-"""Stand-in for a plain service: it counts the runs of each request id."""
+"""Stand-in for a plain service that counts the runs of each request id."""
 
 import asyncio
 from collections import Counter
@@ -10,7 +10,7 @@
 
 
 class Service:
-    """A service that answers with what it was asked."""
+    """A service that answers with the path, method and size of the request."""
 
     def __init__(self, options: dict[str, Any]) -> None:
         self.faults = Faults(
@@ -20,7 +20,7 @@
         self.runs: Counter[str] = Counter()
 
     async def report(self, http: web.Request) -> web.Response:
-        """Say that it is there, and whether it is leaving."""
+        """Serve the instance name and whether it is leaving."""
         while self.faults.get("hang"):
             await asyncio.sleep(0.05)
         leaving = self.faults.get("leaving")
@@ -47,7 +47,7 @@
         )
 
     async def show_counts(self, http: web.Request) -> web.Response:
-        """Show how often each request id was run."""
+        """Serve the number of runs of each request id."""
         return web.json_response({"runs": dict(self.runs)})
 
 
--- a/standins/text.py
+++ b/standins/text.py
@@ -1,4 +1,4 @@
-"""The answers of the stand-in engine: a function of adapter, version and prompt."""
+"""Deterministic answers of the stand-in engine, by adapter, version and prompt."""
 
 from hashlib import sha256
 from typing import Final
@@ -36,6 +36,6 @@
 
 
 def make_answer(adapter_version: str, prompt: str, length: int) -> str:
-    """Return the whole answer; checks from outside compare with it."""
+    """Return the complete expected answer, for checks by callers."""
     tokens = (make_token(adapter_version, prompt, at) for at in range(length))
     return "".join(f" {WORDS[token]}" for token in tokens)
--- a/standins/vms.py
+++ b/standins/vms.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's VM list: it lags, and it may be wrong."""
+"""Stand-in for the platform's VM list, which may be stale or incomplete."""
 
 import time
 from typing import Any
@@ -9,7 +9,7 @@
 
 
 class VmDirectory:
-    """The VMs, shown as they were ``lag`` seconds ago."""
+    """The VM list as it was ``lag`` seconds ago."""
 
     def __init__(self, options: dict[str, Any]) -> None:
         self.faults = Faults(down=False, lag=options.get("lag", 0.0), hide=[])
@@ -18,7 +18,7 @@
         ]
 
     async def show(self, http: web.Request) -> web.Response:
-        """Serve the lagging list."""
+        """Serve the delayed list."""
         if self.faults.get("down"):
             return web.json_response({"error": "down"}, status=503)
         until = time.monotonic() - self.faults.get("lag")
@@ -28,7 +28,7 @@
         return web.json_response([vm for vm in shown if vm["vm"] not in hidden])
 
     async def change(self, http: web.Request) -> web.Response:
-        """Take a new list."""
+        """Replace the list."""
         self._history.append((time.monotonic(), await http.json()))
         return web.json_response({})
 
--- a/standins/weights.py
+++ b/standins/weights.py
@@ -1,4 +1,4 @@
-"""Stand-in for the weight store: so many loads a second, so many at full speed."""
+"""Stand-in for the weight store, limited in loads per second and parallel loads."""
 
 import asyncio
 import time
@@ -10,7 +10,7 @@
 
 
 class WeightStore:
-    """Serves adapters' weights; more than ``at_once`` share the speed of those."""
+    """Serves adapter weights; more than ``at_once`` parallel loads slow each other."""
 
     def __init__(self, options: dict[str, Any]) -> None:
         self.faults = Faults(down=False, slow=1.0)
@@ -22,7 +22,7 @@
         self.peak_concurrency = 0
 
     async def fetch(self, http: web.Request) -> web.Response:
-        """Serve the weights of one adapter, in the time that they take."""
+        """Serve the weights of one adapter after the simulated load time."""
         if self.faults.get("down"):
             return web.json_response({"error": "down"}, status=503)
         now = time.monotonic()
@@ -42,7 +42,7 @@
         return web.json_response({"adapter": http.query["adapter"]})
 
     async def show_counts(self, http: web.Request) -> web.Response:
-        """Show what was served."""
+        """Serve the number of loads and the highest number in parallel."""
         return web.json_response(
             {"served": self.served, "most_at_once": self.peak_concurrency}
         )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
-"""Passes over the tests that KNOWN-RED.txt lists, and prints them at the end.
+"""Marks the tests listed in KNOWN-RED.txt as expected failures and prints them.
 
-A line of that file is a test's node id, its cause and its issue, apart by a bar.
+A line of that file holds a test's node id, the cause and the issue, separated by bars.
 """
 
 from pathlib import Path
--- a/tests/fakes.py
+++ b/tests/fakes.py
@@ -1,7 +1,7 @@
-"""Small fakes at the ports, under virtual time, with faults that can be switched.
+"""Fakes of the daemon's ports under virtual time, with switchable faults.
 
-The daemons' own code runs unchanged above them. What an endpoint sees go wrong is
-counted here, outside the program.
+The daemon's code runs on them unchanged. Violations that an endpoint sees are recorded
+in the fakes, outside the program.
 """
 
 import asyncio
@@ -43,7 +43,7 @@
 
 @dataclass
 class Faults:
-    """What is wrong with the surroundings at this moment."""
+    """Faults that are active in the fakes at this moment."""
 
     cut: set[tuple[str, str]] = field(default_factory=set)
     store_cut: set[str] = field(default_factory=set)
@@ -59,7 +59,7 @@
 
 
 class Gate:
-    """Stops everything of one daemon while it is frozen, and for ever once killed."""
+    """Blocks all I/O of one daemon while it is frozen, and forever once killed."""
 
     def __init__(self) -> None:
         self._open = asyncio.Event()
@@ -85,7 +85,7 @@
 
 
 class FakeStore:
-    """The object API's state."""
+    """State of the object API."""
 
     def __init__(self, faults: Faults, random: Random) -> None:
         self.faults = faults
@@ -118,7 +118,7 @@
 
 
 class StoreView:
-    """One daemon's way to the object API; implements ``ObjectApi``."""
+    """One daemon's client of the object API; implements ``ObjectApi``."""
 
     def __init__(self, store: FakeStore, vm: str, gate: Gate) -> None:
         self._store = store
@@ -241,7 +241,7 @@
 
 
 class PeerView:
-    """One daemon's way to the others; implements ``PeerTransport``."""
+    """One daemon's transport to its peers; implements ``PeerTransport``."""
 
     def __init__(self, net: FakeNet, vm: str, gate: Gate) -> None:
         self._net = net
@@ -255,7 +255,7 @@
 
 @dataclass
 class Run:
-    """One request that an endpoint has begun to run."""
+    """One request that an endpoint has started to run."""
 
     request: str
     adapter: str
@@ -265,7 +265,7 @@
 
 @dataclass
 class FakeEndpoint:
-    """An engine or a plain service, with what it saw."""
+    """An engine or a plain service, with the runs and violations that it recorded."""
 
     name: str
     slots: int = 2
@@ -292,7 +292,7 @@
     fenced_off: int = 0
 
     def restart(self) -> None:
-        """Lose all that is in memory."""
+        """Restart as a new instance with nothing loaded."""
         self.instance += 1
         self.fence = 0
         self.loaded.clear()
@@ -332,7 +332,7 @@
 
 
 class FakeAnswer:
-    """An answer under way; implements ``Answer``."""
+    """An answer in flight; implements ``Answer``."""
 
     def __init__(
         self,
@@ -367,7 +367,7 @@
 
 
 class EndpointView:
-    """One daemon's way to endpoints; implements both clients' ports."""
+    """One daemon's client of all endpoints; implements the ports of both clients."""
 
     def __init__(
         self, endpoints: dict[str, FakeEndpoint], faults: Faults, vm: str, gate: Gate
@@ -382,7 +382,7 @@
             await asyncio.sleep(0.05)
 
     async def _reach(self, url: str) -> FakeEndpoint:
-        """Go to an endpoint; raises ``NotStarted`` when it is not there."""
+        """Connect to an endpoint; raises ``NotStarted`` when it is unreachable."""
         await self.gate.pass_through()
         await asyncio.sleep(NET_DELAY)
         endpoint = self._endpoints[url.removeprefix("http://")]
@@ -519,7 +519,7 @@
 
 
 def count_runs(endpoints: dict[str, FakeEndpoint]) -> dict[str, int]:
-    """Return how often each request was run, over all endpoints."""
+    """Return the number of runs of each request over all endpoints."""
     counts: dict[str, int] = defaultdict(int)
     for endpoint in endpoints.values():
         for run in endpoint.runs:
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -1,4 +1,4 @@
-"""Daemons above the fakes, callers that send to them, and the checks from outside."""
+"""A fleet of daemons on fakes, callers that send to it, and checks of the results."""
 
 import asyncio
 import json
@@ -58,7 +58,7 @@
 
 
 def run_virtual(work: Coroutine[Any, Any, T]) -> T:
-    """Run under virtual time; nothing waits for the real clock."""
+    """Run under virtual time, without waiting for the real clock."""
     loop = looptime.new_event_loop(start=1000.0, noop_cycles=0)
     try:
         asyncio.set_event_loop(loop)
@@ -69,7 +69,7 @@
 
 
 class GatedRuntime(Runtime):
-    """A runtime whose ticks stop while its daemon is frozen."""
+    """A runtime that does not tick while its daemon is frozen."""
 
     gate: Gate
 
@@ -81,7 +81,7 @@
 
 
 class Sink:
-    """What a caller got."""
+    """The answer that a caller received."""
 
     def __init__(self, is_buffered: bool) -> None:
         self.is_buffered = is_buffered
@@ -100,7 +100,7 @@
 
 @dataclass
 class SentRequest:
-    """A request as a caller sees it: what was asked and what came back."""
+    """A request and its result as the caller sees them."""
 
     request: str
     vm: str
@@ -173,7 +173,7 @@
         return not self.gate.killed
 
     async def kill(self) -> None:
-        """End at once: nothing more leaves this daemon."""
+        """Kill the daemon at once; it sends nothing more."""
         self.gate.kill()
         self.fleet.net.nodes.pop(self.number + 1, None)
         tasks = list(self.tasks)
@@ -183,7 +183,7 @@
         await self.runtime.stop()
 
     async def stop_planned(self, limit: float = 60.0) -> bool:
-        """Stop as planned; return whether nothing was left."""
+        """Stop as planned; return whether no request was left."""
         self.stopping = True
         world = self.runtime.world
         self.runtime.post(StopRequested())
@@ -196,7 +196,7 @@
                 break
             await asyncio.sleep(0.05)
         if not self.is_up:
-            return True  # A fault killed it first: that is no planned stop.
+            return True  # A fault killed it first, so the planned stop does not count.
         clean = not self.server.live
         await self.kill()
         return clean
@@ -204,7 +204,7 @@
 
 @dataclass
 class Fleet:
-    """Everything of one run."""
+    """All daemons, fakes and callers of one run."""
 
     seed: int = 1
     daemons: int = 4
@@ -258,7 +258,7 @@
     # Setting up
 
     async def put_config(self, value: ConfigValue | None, kind: str, name: str) -> int:
-        """Have an operator write an object; return its revision."""
+        """Write a configuration object as an operator; return its revision."""
         self.serial += 1
         changed = ConfigObject(
             kind=kind,
@@ -332,7 +332,7 @@
         return node
 
     async def replace(self, number: int) -> Node:
-        """Kill a daemon and put an empty one in its place."""
+        """Kill a daemon and start an empty one in its place."""
         await self.nodes[number].kill()
         await asyncio.sleep(0.01)
         return self.start_node(number)
@@ -349,7 +349,7 @@
         stream: bool = True,
         service: bool = False,
     ) -> SentRequest:
-        """Have a caller send a request to a daemon."""
+        """Send a request to a daemon as a caller."""
         self.serial += 1
         node = self.nodes[number]
         sent = SentRequest(
@@ -370,7 +370,10 @@
         return sent
 
     def _record_end(self, sent: SentRequest, task: "asyncio.Task[None]") -> None:
-        """A task that is cancelled before its first step never runs at all."""
+        """Record how a request task ended.
+
+        A task that is cancelled before its first step never runs, so ``_serve`` can't.
+        """
         if task.cancelled():
             sent.lost = True
         elif task.exception() is not None:
@@ -446,7 +449,7 @@
     # Checks from outside
 
     def list_problems(self) -> list[str]:
-        """Return all that broke a promise, as seen from outside and inside."""
+        """Return all violations: of endpoints, answers and the daemons' invariants."""
         problems = list(self.problems)
         for endpoint in self.endpoints.values():
             problems.extend(endpoint.violations)
@@ -487,7 +490,7 @@
         await asyncio.sleep(seconds)
 
     async def heal(self) -> None:
-        """Mend all faults, and put daemons in the places of killed ones."""
+        """Clear all faults, and start daemons in place of killed ones."""
         clean = Faults()
         for name, value in vars(clean).items():
             setattr(self.faults, name, value)
--- a/tests/soak.py
+++ b/tests/soak.py
@@ -1,8 +1,8 @@
 """Long randomised runs: six daemons, nine engines, three services, all faults mixed.
 
 A schedule is drawn from a seed. Each of its steps sends a request, changes the
-configuration, or makes or mends a fault. When a promise breaks, the seed is
-printed with the shortest schedule found that still breaks one.
+configuration, or injects a fault, which is cleared later. After a violation the seed
+is printed with the shortest schedule found that still gives one.
 """
 
 import asyncio
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Action:
-    """One step of a schedule; ``draw`` seeds what it draws itself."""
+    """One step of a schedule; ``draw`` is a random number for its own choices."""
 
     kind: str
     target: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True)
 class SoakResult:
-    """What came of a run; ``lost`` requests were at a daemon that was killed."""
+    """Result of a run; ``lost`` requests were at a daemon that was killed."""
 
     problems: tuple[str, ...]
     sent: int
@@ -148,7 +148,7 @@
                 self.last_unrepeatable, self.last_adapter = sent.request, action.adapter
 
     async def inject_fault(self, action: Action) -> None:
-        """Make a fault, unless another is still on, and mend it after a while."""
+        """Inject a fault unless one is active, and clear it after its duration."""
         node = self.fleet.nodes[action.target]
         if self.fault_active or not node.is_up:
             return
@@ -193,7 +193,7 @@
 
 
 def shrink(seed: int, schedule: list[Action]) -> list[Action]:
-    """Return the shortest schedule found, by leaving out ever smaller parts."""
+    """Return the shortest failing schedule found by removing ever smaller parts."""
     size, attempts = len(schedule) // 2, 0
     while size >= 1 and attempts < MAX_SHRINK_ATTEMPTS:
         for at in range(0, len(schedule), size):
@@ -228,10 +228,10 @@
             pool.imap_unordered(run_seed, seeds), start=1
         ):
             problems = result.problems
-            state = "held" if not problems else "BROKEN"
+            state = "passed" if not problems else "FAILED"
             click.echo(
                 f"{finished} of {len(seeds)}: seed {number} {state}; requests "
-                f"{result.sent}, done {result.done}, gone with a killed daemon "
+                f"{result.sent}, done {result.done}, lost with a killed daemon "
                 f"{result.lost}, refused {result.sent - result.done - result.lost}"
             )
             violations += len(problems)
--- a/tests/test_faultsoak.py
+++ b/tests/test_faultsoak.py
@@ -1,4 +1,4 @@
-"""The fault soak in short: a seeded run, and plans of seeds that failed once."""
+"""A short fault soak from a seed, and reduced plans of seeds that failed."""
 
 from pathlib import Path
 
@@ -19,10 +19,10 @@
     return Step(at, duration, action, target, ProxyMode.RESET)
 
 
-# What a seed that failed came down to, and its cause.
+# Plans to which failing seeds were shrunk, and the cause of each failure.
 REGRESSIONS = {
-    # Seed 111 of 15 s: the signal for changed settings ended a daemon that had just
-    # been started. Ends within the start-up of the process.
+    # From seed 111 of 15 s: SIGHUP for changed settings ended a daemon that had just
+    # started. The signals fall within the start-up of the process.
     "settings change while a daemon starts": [
         make_step(0.5, 0.0, Action.KILL),
         *(make_step(1.05 + 0.05 * n, 0.0, Action.RELOAD) for n in range(5)),
@@ -55,7 +55,7 @@
 
 
 async def test_no_engine_is_crashed_while_all_are_down(tmp_path: Path) -> None:
-    # Seed 309 of 15 s: its two engines were down when a third crash was due.
+    # Seen with seed 309 of 15 s: a crash was due while both engines were down.
     system = SoakSystem(tmp_path, claim_ports())
     soak = Soak(system, Checker(system))
     await PERFORMERS[Action.ENGINE_CRASH](
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet without faults, under virtual time."""
+"""A fleet without faults, under virtual time."""
 
 from tests.fleet import Fleet, run_virtual
 
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-in engine does what the published interface says."""
+"""The stand-in engine conforms to the published interface."""
 
 from collections.abc import AsyncIterator
 
