--- a/tests/issuersim.py
+++ b/tests/issuersim.py
@@ -235,9 +235,9 @@
         for daemon in self.list_leaders():
             if not self._is_running(daemon):
                 continue
-            terms = self._find_terms(daemon)
-            if terms is not None:
-                daemon.issuer.issue(ENDPOINT, 1, daemon.standing, terms)
+            parameters = self._choose_parameters(daemon)
+            if parameters is not None:
+                daemon.issuer.issue(ENDPOINT, 1, daemon.standing, parameters)
 
     def _count_reachable(self) -> None:
         """Update which daemons each leader reaches."""
@@ -260,7 +260,7 @@
                 reachable_daemons = sum(self.groups[d] for d in (daemon, *reachable))
                 daemon.headcount.record(reachable_daemons, self.now)
 
-    def _find_terms(self, daemon: Daemon) -> IssueParameters | None:
+    def _choose_parameters(self, daemon: Daemon) -> IssueParameters | None:
         holding = daemon.holdings.get(LOCAL)
         if holding is not None and holding.alone_from <= self.now < holding.valid_until:
             return compute_leased_parameters(self.limit)
--- a/tests/limitsim.py
+++ b/tests/limitsim.py
@@ -182,7 +182,7 @@
         self.leaders = [self._make_issuer(number) for number in range(GROUPS)]
         self.owner = RateLimitState()
         self.owner.apply_reported(self.limit, 1, 0.0)
-        self.terms = compute_leased_parameters(self.owner.rate)
+        self.parameters = compute_leased_parameters(self.owner.rate)
         self.recheck_at = float("inf")
 
     def _make_issuer(self, number: int) -> CreditIssuer:
@@ -263,7 +263,7 @@
         self.after(self.rng.uniform(*TRIP_TIME) + MIN_REPORT_GAP, arrive)
 
     def _issue(self) -> None:
-        wait = self.leaders[0].issue(ENDPOINT, 1, self.owner, self.terms)
+        wait = self.leaders[0].issue(ENDPOINT, 1, self.owner, self.parameters)
         if wait is not None and not self.now < self.recheck_at <= self.now + wait:
             self.recheck_at = self.now + wait
             self.after(wait, self._issue)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -406,7 +406,7 @@
         assert len(engine.seen) == 1
         writer.transport.abort()
         await asyncio.sleep(0.1)
-        assert rig.api.live == 0
+        assert rig.api.active_requests == 0
         assert not rig.relay.finder.demand.uses
 
 
@@ -426,7 +426,7 @@
         assert (reply.status, reply.headers["connection"]) == (200, "close")
         early = await rig.ask("POST", "/s/x", MODEL, b"p")
         assert early.whole
-        rig.api._stop_began -= 3.0
+        rig.api._stop_started_at -= 3.0
         late = await rig.ask("POST", "/s/x", MODEL, b"p")
     assert late.status == 503
     assert "retry-after" in late.headers
--- a/tests/test_limit_table.py
+++ b/tests/test_limit_table.py
@@ -244,8 +244,8 @@
         self.issue()
 
     def issue(self) -> float | None:
-        terms = compute_leased_parameters(self.limit.rate)
-        return self.issuer.issue(ENDPOINT_ID, 1, self.limit, terms)
+        parameters = compute_leased_parameters(self.limit.rate)
+        return self.issuer.issue(ENDPOINT_ID, 1, self.limit, parameters)
 
     def list_issued(self) -> list[int]:
         return [each.issued[ENDPOINT_ID] for each in self.holders]
