--- a/src/kestreltally/knowledge/rows.py
+++ b/src/kestreltally/knowledge/rows.py
@@ -241,7 +241,7 @@
 
 
 def encode_credits(endpoint: EndpointId, remaining_times: list[Seconds]) -> Any:
-    """Return the struct of credits issued at an endpoint, by remaining seconds."""
+    """Return the struct of credits issued at an endpoint, by their remaining time."""
     return TurnsRow(endpoint=endpoint, lasts=remaining_times)
 
 
--- a/src/kestreltally/placing/lease.py
+++ b/src/kestreltally/placing/lease.py
@@ -44,7 +44,7 @@
 RENEW_INTERVAL: Final[Seconds] = 1.0
 RENEW_RETRY_DELAY: Final[Seconds] = 0.2
 # Longer than the usual outages of the store (3 to 5 s in simulations), during which
-# nobody could take over. A longer validity lets the successor of a lost holder wait
+# nobody could take over. A longer validity makes the successor of a lost holder wait
 # longer, but leaders of other data centres load adapters in that time, and a daemon
 # that restarts on the same VM does not wait.
 VALIDITY: Final[Seconds] = 6.0
@@ -411,7 +411,7 @@
     def _compute_orders_allowed_from(
         self, former: LeaseRecord, observed: ObservedRevision, now: Seconds
     ) -> Seconds:
-        """Return the time from which orders are separated from a former holder's."""
+        """Return from when orders are separated from those of a former holder."""
         if self._is_outdated(former):
             return self._compute_orders_allowed_after(observed.since + VALIDITY)
         if former.holder == self._vm:
@@ -424,7 +424,7 @@
         return self._compute_orders_allowed_after(last)
 
     def _compute_orders_allowed_after(self, last: Seconds) -> Seconds:
-        """Return the time from which orders are separated from one sent at ``last``."""
+        """Return from when orders are separated from an order sent at ``last``."""
         return last + MAX_ORDER_TRANSIT + self._holder_gap
 
     def _start_leading(self, orders_allowed_from: Seconds) -> None:
