--- a/src/kestreltally/systems/membership.py
+++ b/src/kestreltally/systems/membership.py
@@ -177,7 +177,7 @@
     host: str,
     port: int,
     on_behalf_of: VmId | None = None,
-    requester_sequence: int = 0,
+    origin_sequence: int = 0,
 ) -> None:
     table = world.members
     table.sequence += 1
@@ -185,7 +185,7 @@
         subject=vm,
         sent_at=world.now,
         on_behalf_of=on_behalf_of,
-        requester_sequence=requester_sequence,
+        origin_sequence=origin_sequence,
     )
     ping = Ping(
         sequence=table.sequence,
@@ -358,7 +358,7 @@
         subject.host,
         subject.port,
         on_behalf_of=sender,
-        requester_sequence=request.sequence,
+        origin_sequence=request.sequence,
     )
 
 
@@ -371,7 +371,7 @@
     if pending is None or pending.subject != ack.subject:
         return
     if pending.on_behalf_of is not None:
-        forwarded = replace(ack, sequence=pending.requester_sequence)
+        forwarded = replace(ack, sequence=pending.origin_sequence)
         world.send(pending.on_behalf_of, forwarded)
         return
     member = world.members.known.get(pending.subject)
--- a/src/kestreltally/world.py
+++ b/src/kestreltally/world.py
@@ -112,7 +112,7 @@
     sent_at: Seconds
     indirect_probe_sent: bool = False
     on_behalf_of: VmId | None = None
-    requester_sequence: int = 0
+    origin_sequence: int = 0
 
 
 @dataclass
